--- a/policy/src/test/java/org/carawaysill/policy/fleet/AllowancesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/AllowancesTest.java
@@ -26,7 +26,7 @@
     private static final String PATH = "/entry/";
     private static final int PER_SECOND = 20;
 
-    /** The rate times five seconds and the burst, a quarter more, and the slack. */
+    /** The rate times five seconds plus the burst, with the tolerance of a quarter, plus the slack. */
     private static final int MOST_IN_A_WINDOW = (int) (6 * PER_SECOND * 1.25 + 20);
 
     private final VirtualFleet fleet = new VirtualFleet(5);
@@ -55,7 +55,7 @@
         fleet.runUntil(BEGIN);
     }
 
-    /** Sends requests at a steady rate to one node after the other. */
+    /** Sends requests at a steady rate to the nodes in turn. */
     private void send(String organisation, int perSecond, int seconds, List<Outcome> to) {
         for (int i = 0; i < perSecond * seconds; i++) {
             VirtualNode entry = nodes.get(i % nodes.size());
@@ -91,7 +91,7 @@
                     othersOutcomes.stream().filter(Outcomes::isGood).count());
         }
 
-        /** Guards against callers that all come back at one moment. */
+        /** Guards against callers that all retry at the same moment. */
         @Test
         void spreadWhenItsCallersComeBack() {
             send("hot", 150, 5, outcomes);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/BillSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/BillSite.java
@@ -6,10 +6,10 @@
 import org.carawaysill.policy.fleet.mechanism.Mechanism;
 
 /**
- * A site of 95 nodes in five availability zones, whose deepest service has six copies and is full at the usual rates: two
- * kinds of requests make eight and four short calls there, three services below the one that they enter.
+ * A site of 95 nodes in five availability zones, whose deepest service has six copies and is full at the usual rates:
+ * two kinds of requests make eight and four short calls there, three services below the one that they enter.
  *
- * <p>Slots, speeds, times of work, aims and limits are those of the sheet that a customer gave. Not thread safe.
+ * <p>Slots, speeds, work times, aims and limits come from a customer's data sheet. Not thread safe.
  */
 final class BillSite extends VirtualSite {
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/BillSiteTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/BillSiteTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Heavy days of a site of 95 nodes whose deepest service is full at the usual rates.
+ * Overload on a site of 95 nodes whose deepest service is full at the usual rates.
  *
- * <p>Figures are means over {@link #SEEDS} seeds. The bounds lie between what was measured with the mechanism and without
- * it, each named in the test, so that a change that undoes the gain fails.
+ * <p>Figures are means over {@link #SEEDS} seeds. Each bound lies between the values measured with and without the
+ * mechanism that the test names, so that a change that undoes the gain fails.
  */
 class BillSiteTest {
 
@@ -43,9 +43,10 @@
     class Chains {
 
         /*
-         * Agents look bills up in a rush, 1.7 times as many as usual, each with eight calls in a row at one service, and give
-         * up after 0.8 s. The calls of all of them waited there alike: more than half of the lookups that were let in ran out
-         * of time with most of their calls done. Without the mechanism 0.69 is served in time, with it 0.77.
+         * Guards against serving the calls of all requests in order of arrival. Lookups arrive at 1.7 times the usual
+         * rate, each makes eight calls in a row at one service, and clients give up after 0.8 s. If all calls wait
+         * there alike, more than half of the admitted lookups time out with most of their calls done. Without the
+         * mechanism 0.69 is served in time, with it 0.77.
          */
         @Test
         void endInTimeWhereThoseNearTheirEndGoFirst() {
@@ -59,9 +60,10 @@
     class Connections {
 
         /*
-         * Most of a node's 94 connections carry a request only now and then. The first one after a long silence was counted
-         * as unanswered since the last sign of life, and connections that were sound were given up with requests on them: on
-         * a day without any fault, 0.69 in place of 0.86 was served in time.
+         * Guards against resetting healthy connections after idle time. Most of a node's 94 connections rarely carry a
+         * request. The first request after a long silence counted as unanswered since the last received message, so
+         * that healthy connections were reset with requests on them: without any fault, 0.69 instead of 0.86 was served
+         * in time.
          */
         @Test
         void areNotGivenUpForHavingBeenIdle() {
@@ -80,7 +82,7 @@
     @Nested
     class BytesBetweenZones {
 
-        /** From all to all, reports alone were some 2.5 MB a second. */
+        /** When every node reported to every other one, reports alone were about 2.5 MB a second. */
         @Test
         void areMostlyForRequests() {
             double control = mean(0.7, Set.of(), site -> site.fleet.control.bytesAcrossZones / SECONDS);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/ChangingRoute.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/ChangingRoute.java
@@ -7,8 +7,8 @@
 import org.carawaysill.policy.fleet.VirtualFleet.VirtualNode;
 
 /**
- * Nodes of two services in three availability zones, whose copies write heartbeats, and a route that goes to one service after
- * the other; the platform comes back from older copies. Not thread safe.
+ * Nodes of two services in three availability zones, whose copies write heartbeats, and a route that alternates between
+ * the services; the platform is restored from older states. Not thread safe.
  */
 final class ChangingRoute {
 
@@ -42,12 +42,12 @@
         fleet.at(fleet.now + HEARTBEAT, () -> beat(node));
     }
 
-    /** The service to which the route goes by the newest configuration. */
+    /** Returns the service that the route leads to in the newest configuration. */
     String service() {
         return service;
     }
 
-    /** The service of the copy that ran a request. */
+    /** Returns the service of the copy that ran a request. */
     String serviceOf(Run run) {
         return fleet.nodes.get(run.copy().substring(0, run.copy().indexOf('#'))).service;
     }
@@ -66,7 +66,7 @@
         fleet.configure(fleet.version(), routes());
     }
 
-    /** The route that changes, and one to each service, so that both are named at all times. */
+    /** Returns the alternating route, and one route to each service, so that both services are always named. */
     private Route[] routes() {
         return new Route[] {
             Routes.route(PATH, service, true, 1, 900, 500),
@@ -76,12 +76,12 @@
     }
 
     /**
-     * Takes the platform away for a time; it comes back as it was before.
+     * Makes the platform unavailable for a time; it is then restored from an older state.
      *
-     * @param at when it goes away
-     * @param age how long before that it was as it is when it comes back
-     * @param away for how long
-     * @param back what happens right after its return
+     * @param at when it becomes unavailable
+     * @param age how old the restored state is at that moment
+     * @param away how long it is unavailable
+     * @param back runs right after its return
      */
     void returnOlder(long at, long age, long away, Runnable back) {
         PlatformCopy[] copy = new PlatformCopy[1];
--- a/policy/src/test/java/org/carawaysill/policy/fleet/CrashingRequestsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/CrashingRequestsTest.java
@@ -16,26 +16,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests that end each copy that runs them, on a site where other requests need the same copies. */
+/** Requests that crash each copy that runs them, on a site where other requests need the same copies. */
 class CrashingRequestsTest {
 
     private static final double SECONDS = 30;
     private static final double CRASHES_FROM = 5;
     private static final double GAP = 0.7;
 
-    /** The fleet's bound of tries once the third crash is known. */
+    /** The maximum number of runs in the fleet once the third crash is known. */
     private static final int MOST_LATE_TRIES = 3;
 
-    /** The aim for the copies that one such request ends in the whole fleet. */
+    /** The maximum number of copies in the whole fleet that one such request may crash. */
     private static final int MOST_COPIES = 3;
 
-    /** What the client of a refused request is told: of its first try, and of the one after it. */
+    /** The refusals that one client gets: for its first attempt, and for its retry. */
     private static final int ANSWERS_TO_ONE = 2;
 
-    /** What is left of the ordinary service where two of four copies are away for some seconds. */
+    /** The least share of ordinary requests served while two of four copies are down for some seconds. */
     private static final double MIN_SERVED_RATIO = 0.97;
 
-    /** Plays a day with the ordinary load of the sheet. */
+    /** Plays a scenario with the usual load of the site. */
     private static PostingSite play(long seed, Consumer<PostingSite> day) {
         PostingSite site = new PostingSite(seed);
         site.offer(1, 0, SECONDS);
@@ -70,10 +70,9 @@
     class OneRequest {
 
         /*
-         * Depositors get no statements for seconds at a time: one request ends each copy that begins to run it, comes again
-         * through other nodes under new names, and each time its node hands it to one copy after the other. All four copies
-         * of the service are away for as long as it comes. Nothing was remembered of it between its tries: with a single
-         * attempt for each try, as many copies ended.
+         * Guards against a request that crashes each copy that runs it and is repeated through other nodes under new
+         * names. Unless it is remembered between attempts, all four copies of the service are down as long as it is
+         * repeated; as many copies crashed when each request had a single attempt.
          */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
@@ -85,7 +84,7 @@
             expectOthersServed(site, figures);
         }
 
-        /** Where it runs beside no other suspect, the second crash tells. */
+        /** If the request runs without another suspected request, the second crash identifies it. */
         @Test
         void endsTwoCopiesAsARule() {
             long two = LongStream.rangeClosed(11, 18)
@@ -104,8 +103,8 @@
         }
 
         /*
-         * One that was taken for the cause by coincidence is not kept out for good: ten minutes later it may run once more,
-         * alone. One that is the cause ends a third copy then, and none after that.
+         * Guards against a permanent quarantine by coincidence: after ten minutes a quarantined request may run once
+         * more, alone. If it is the cause, it crashes a third copy then, and none after that.
          */
         @Test
         void runsOnceMoreAfterItsQuarantineAndNeverAgain() {
@@ -121,7 +120,7 @@
             assertTrue(between >= 10, runs.toString());
         }
 
-        /** A call of a copy is judged at the service that it goes to; the request that makes it crashes nothing. */
+        /** A call of a copy is tracked at the service that it goes to; the calling request crashes nothing. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
         void mayBeTheCallOfACopy(long seed) {
@@ -141,7 +140,7 @@
             assertTrue(site.crashes() <= MOST_COPIES, figures);
         }
 
-        /** Each node forgets all when it starts anew; the others tell it. */
+        /** Each node loses its suspicions when it restarts; the other nodes send them again. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
         void startAnewInTurn(long seed) {
@@ -156,7 +155,7 @@
             expectBound(site);
         }
 
-        /** All nodes beside the service start anew at once: the nodes beside other services remember. */
+        /** All nodes of the service restart at once: the nodes of other services still know of the quarantine. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
         void besideTheServiceStartAnewAtOnce(long seed) {
@@ -179,7 +178,7 @@
             }));
         }
 
-        /** The node beside the first copy that crashes ends with the news: one crash more is needed. */
+        /** The node of the first copy that crashes ends before it notifies others: one more crash is needed. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
         void endWithTheNews(long seed) {
@@ -197,7 +196,7 @@
             assertTrue(site.crashes() <= MOST_COPIES + 1, figures);
         }
 
-        /** The connections between the nodes beside the service carry nothing for a while. */
+        /** The connections between the nodes of the service carry nothing for a while. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
         void hearNothingOfEachOther(long seed) {
@@ -229,7 +228,7 @@
             expectOthersServed(site, figures);
         }
 
-        /** Both come for the first time within 30 ms, so that what each crash tells is blurred by the other. */
+        /** Both requests first arrive within 30 ms, so that each crash involves both of them. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
         void mayComeAtOneMoment(long seed) {
@@ -242,7 +241,7 @@
             assertTrue(site.runsAfterTheThird("two") <= MOST_LATE_TRIES, figures);
         }
 
-        /** Four clients repeat one at once, twenty times a second each: it is at all copies before the first has crashed. */
+        /** Four clients repeat one request 20 times a second each: it runs at all copies before the first crash. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
         void mayBeOneThatManyClientsRepeat(long seed) {
@@ -259,8 +258,8 @@
     class Answers {
 
         /*
-         * A client is told that its request was not run, and it was: its copy ends under it, its node tries the other copies,
-         * which have ended too, and the last refusal becomes the answer.
+         * Guards against answering "not run" for a request that ran: its copy crashes, its node tries the other copies,
+         * which have crashed too, and the last refusal becomes the answer.
          */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
@@ -280,8 +279,8 @@
     class OtherCauses {
 
         /*
-         * Three of the four copies of a service end at one moment, twice, for a reason of their own. What ran on them is
-         * tried again and served; nobody is taken for the cause.
+         * Three of the four copies of a service crash at the same moment, twice, for an unrelated reason. The requests
+         * that ran on them are retried and served, and none is quarantined.
          */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
@@ -295,7 +294,7 @@
             expectOthersServed(site, figures);
         }
 
-        /* Guards against a popular request that is refused since it ran alone at the second of several copies that end together. */
+        /* Guards against quarantining a popular request that ran alone at the second of several crashing copies. */
         @ParameterizedTest
         @ValueSource(ints = {10, 40, 100, 200})
         void ofCrashesShortlyAfterEachOtherCondemnNobody(int gapMillis) {
@@ -308,7 +307,7 @@
             assertEquals(List.of(), condemned);
         }
 
-        /** Lets three of the four copies of a service end one after the other. */
+        /** Crashes three of the four copies of a service one after the other. */
         private static void endInTurn(PostingSite site, double fromSecond, double gapSeconds) {
             List<VirtualNode> beside = site.services.get(PostingSite.STATEMENTS);
             for (int i = 0; i < 3; i++) {
@@ -318,8 +317,8 @@
         }
 
         /*
-         * Copies go down and up by turns. What is tried again may be alone at a second copy when that goes down: it would be
-         * refused for ten minutes for having been at both. At the first two of these crashes it can't be told from their
+         * Copies crash and restart in turn. A request retried at a second copy may run there alone when that one
+         * crashes, and be quarantined for ten minutes. After two of these crashes it can't be distinguished from their
          * cause; later ones show that copies crash without it too.
          */
         @ParameterizedTest
@@ -338,7 +337,7 @@
             assertTrue(site.told(RefusalReason.QUARANTINED.name()) <= ANSWERS_TO_ONE, figures);
         }
 
-        /** A copy that leaves as announced ends what it still works on; that is no crash. */
+        /** A copy that leaves as announced ends the requests that it still runs; this is not a crash. */
         @Test
         void mayBePlanned() {
             PostingSite site = play(1, day -> {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/FleetPolicyTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/FleetPolicyTest.java
@@ -71,8 +71,8 @@
     class Leaving {
 
         /*
-         * A copy announces that it leaves while one node is turned away by the platform. That node went on sending work to
-         * the copy until it ended. Every node must know within the limit, from the platform or from another node.
+         * Guards against a node that the platform refuses and that keeps sending work to a leaving copy until the copy
+         * ends. Every node must learn of the leave within the limit, from the platform or from another node.
          */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4, 5})
@@ -108,9 +108,9 @@
         }
 
         /*
-         * All nodes are restarted one after the other, faster than a node is away. Nodes told at once that they leave, and for
-         * two seconds all copies of a small service were out of reach, though their nodes still ran and waited for clients
-         * to notice: everything above the service failed.
+         * Guards against restarting nodes one after the other faster than a node is away. When nodes announced the stop
+         * at once, all copies of a small service were unreachable for two seconds, although their nodes still ran and
+         * waited for clients to leave, and all requests that needed the service failed.
          */
         @Test
         void restartsInSeriesLeaveACopyInReach() {
@@ -132,7 +132,7 @@
         }
 
         /*
-         * A node gets its signal to stop while it works on requests. All of them must be answered, and the process must end
+         * A node is ordered to stop while it handles requests. All of them must be answered, and the process must end
          * soon after.
          */
         @Test
@@ -171,8 +171,8 @@
         }
 
         /*
-         * A copy never answers a request for which it has no room, nor any later one on that connection. It must never be
-         * handed more than its slots, however many wait.
+         * A copy never answers a request for which it has no free slot, nor any later request on that connection. It
+         * must never get more requests than it has slots, however many wait.
          */
         @Test
         void ofACopyGetsItNoMoreThanItsSlots() {
@@ -181,9 +181,9 @@
         }
 
         /*
-         * A copy loses power with requests at it, and starts again under its name. Its node waited for the answers of the
-         * earlier process until their deadlines, with all slots taken. They are unknown at once, since they may have run,
-         * and what waited goes to the new process.
+         * Guards against a copy that loses power with running requests and restarts under its name, while its node
+         * waits for the previous process until the deadlines, with all slots taken. The running requests become unknown
+         * at once, since they may have run, and the waiting ones go to the new process.
          */
         @Test
         void ofACopyEndsWhenItStartsAgainUnderItsName() {
@@ -202,8 +202,8 @@
     class AtMostOnce {
 
         /*
-         * A carrier's clerk issues a bill, and the node beside the copy that works on it is killed. The bill may have been
-         * issued: it must not be sent to another copy, and "not run" must not be said.
+         * Guards against a second run when the node of the copy that runs a non-idempotent request is killed. The
+         * request may have run: it must not be sent to another copy, and must not be answered with "not run".
          */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -246,9 +246,10 @@
     class Overload {
 
         /*
-         * Agents look bills up in a rush. Each lookup makes eight calls at the service with the fewest slots, and an
-         * issuance makes four. Refused there, a call in ten leaves hardly a whole lookup, and the issuances go down with
-         * them. Lookups must be refused at the entry, issuances not at all, and nearly all slots must lead to whole requests.
+         * Guards against refusing calls deep in the chain. Each lookup makes eight calls at the service with the fewest
+         * slots, and each issuance makes four. If one call in ten is refused there, hardly any lookup completes, and
+         * issuances fail too. Lookups must be refused at the entry, issuances not at all, and nearly all slots must
+         * contribute to completed requests.
          */
         @Test
         void refusesTheLeastImportantAtTheEntryAndWastesNothing() {
@@ -268,7 +269,7 @@
                             "/issue/", new Work(30 * MILLI, eight.subList(0, 4))));
             service("back", 2, 3, 10, Map.of("/deep/", new Work(20 * MILLI, List.of())));
             fleet.runUntil(3 * SECOND);
-            // 30 slots do 1,500 calls a second: all 60 issuances and 157 lookups. 320 lookups come, twice as many.
+            // 30 slots run 1,500 calls a second: all 60 issuances and 157 lookups. The 320 lookups are twice as many.
             long sent = 3 * SECOND;
             int seconds = 12;
             for (int i = 0; i < 320 * seconds; i++) {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/FleetStateTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/FleetStateTest.java
@@ -25,7 +25,7 @@
 
 class FleetStateTest extends SettledFleet {
 
-    /** Those that tell a node of the fleet. */
+    /** Returns the nodes that sent a node summaries of the fleet. */
     private static List<String> tellersOf(VirtualNode node) {
         return node.told.keySet().stream().map(name -> name.value()).toList();
     }
@@ -58,9 +58,9 @@
         }
 
         /*
-         * Reports went from all nodes to all. At 95 nodes each of them sent and got 235 a second, which made over half of the
-         * bytes between availability zones, and at ten times the nodes it would have been ten times as many. A node's share of
-         * the work must be the same at any size.
+         * Guards against reports from all nodes to all nodes. At 95 nodes each of them sent and received 235 a second,
+         * which made over half of the bytes between availability zones, and the number grows with the size of the
+         * fleet. The messages of a node must not depend on the size of the fleet.
          */
         @Test
         void ofTheFleetLeavesTheMessagesOfANodeAsTheyAre() {
@@ -76,8 +76,7 @@
             long before = fleet.control.bytesAcrossZones;
             fleet.runUntil(SETTLED + (long) (SECONDS * SECOND));
             double each = (fleet.control.bytesAcrossZones - before) / SECONDS;
-            // From all to all, 95 x 94 brief reports in each interval, four fifths of them between zones: 1.1 MB a
-            // second.
+            // 95 x 94 short reports in each interval, four fifths of them between zones, would be 1.1 MB a second.
             assertTrue(each < 0.11e6, () -> each + " bytes a second");
         }
     }
@@ -86,8 +85,8 @@
     class Demand {
 
         /*
-         * Clients of one availability zone come in a rush. Entries of all zones must know before queues have grown, so that
-         * they let in what fits of all.
+         * The demand rises in one availability zone. The nodes of all zones must know before queues have grown, so that
+         * they admit what fits in total.
          */
         @Test
         void isKnownEverywhereSoonAndCountedOnce() {
@@ -120,8 +119,8 @@
         }
 
         /*
-         * A node that sums up for its zone loses power, without a sign on its connections. Its zone must go on hearing of the
-         * others from the second one, and all others of its zone.
+         * An aggregator loses power, without a sign on its connections. Its zone must still receive the states of all
+         * other nodes, including those of its own zone, from the second aggregator.
          */
         @Test
         void ofOneThatSumsUpLeavesNoZoneBlind() {
@@ -144,8 +143,8 @@
         }
 
         /*
-         * A node loses power to which most others have sent nothing for long. Each of them would lose its first requests to
-         * it, until it has found out for itself; those that hear its reports tell.
+         * A node loses power to which most other nodes have sent nothing for long. Without the aggregators' summaries,
+         * each of them would lose its first requests to that node before it detects the failure itself.
          */
         @Test
         void ofANodeIsKnownToThoseWhoDoNotTalkToIt() {
@@ -177,8 +176,9 @@
     class Silence {
 
         /*
-         * A connection between two nodes goes silent without a reset, with a request on it. Requests that follow would be lost
-         * one after the other; it is found within about 1.2 s, and given up for a new one.
+         * Guards against a connection between two nodes that goes silent without a reset while it carries a request.
+         * Later requests would be lost one after the other; the silence must be detected within about 1.2 s, and the
+         * connection replaced.
          */
         @Test
         void ofAConnectionThatCarriesRequestsIsFound() {
@@ -259,8 +259,9 @@
         }
 
         /*
-         * A node tells others sums that make no sense, of nodes and services that nobody knows. None of them may fail over it,
-         * and once it has stopped and a few requests have shown again what they cost, all are served as before.
+         * A node sends summaries with invalid values, unknown nodes and unknown services. No other node may fail
+         * because of them. After the last one, once a few requests have shown again what they cost, all requests are
+         * served as before.
          */
         @Test
         void thatANodeTellsIsForgottenSoon() {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/IdentificationTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/IdentificationTest.java
@@ -110,7 +110,7 @@
             assertEquals(List.of(), fleet.runs);
         }
 
-        /** Guards against a client that names its request as a call of a copy, and so needs no key. */
+        /** Guards against a client that avoids the key by naming its request like a call of a copy. */
         @Test
         void areRequiredOfRequestsThatAreNamedAsCalls() {
             entry.works.put(ENTRY, new Work(300 * MILLI, List.of()));
@@ -140,7 +140,7 @@
             assertTrue(Outcomes.isGood(outcome("b", ENTRY, key("k-3"))));
         }
 
-        /** Guards against a node that goes on accepting a key, since the platform turns it away while it serves others. */
+        /** Guards against a node that keeps accepting a removed key because the platform refuses its reads. */
         @Test
         void reachANodeThatThePlatformTurnsAway() {
             entry.readable = false;
@@ -170,7 +170,9 @@
                     runs("a").getFirst().organisation());
         }
 
-        /** Guards against a final refusal by a node that has heard nothing for long: the key may have been added since. */
+        /**
+         * Guards against a final refusal by a node that has long received nothing: the key may have been added since.
+         */
         @Test
         void thatCanNotBeHeardOfLeaveARefusalOpen() {
             entry.readable = false;
@@ -188,7 +190,7 @@
     @Nested
     class Ranks {
 
-        /** The organisation's rank goes before the route's, also for the calls that a copy makes. */
+        /** The organisation's rank takes precedence over the route's, also for the calls that a copy makes. */
         @Test
         void ofOrganisationsGoBeforeThoseOfRoutes() {
             back.works.put(DEEP, new Work(50 * MILLI, List.of()));
--- a/policy/src/test/java/org/carawaysill/policy/fleet/LapsedNodesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/LapsedNodesTest.java
@@ -36,7 +36,7 @@
         copies.remove(0, host, 0).ifPresent(copy -> lapsed.add(0, copy));
     }
 
-    /** Guards against the two sides of a partition that each take the other's nodes for gone. */
+    /** Guards against the two sides of a partition that each consider the other's nodes gone. */
     @Test
     void countForATimeWithThePublishedOnes() {
         publishAndRemove("10.0.0.1", false);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/LastingDemandTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/LastingDemandTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** An organisation that goes on asking for a multiple of its allowance, and does not wait as it is told. */
+/** An organisation that persistently requests a multiple of its allowance and ignores the retry delays that it gets. */
 class LastingDemandTest {
 
     private static final long MILLI = VirtualFleet.MILLI;
@@ -32,14 +32,14 @@
     private static final int OTHERS = 30;
     private static final double USUAL_PART = 0.6;
 
-    /** The rate times the window and the burst, a quarter more, and the slack. */
+    /** The rate times the window plus the burst, with the tolerance of a quarter, plus the slack. */
     private static final double MOST_IN_A_WINDOW = 6 * PER_SECOND * 1.25 + 20;
 
     private static Organisation organisation(String name) {
         return TestKeys.organisation(name, 1, Optional.of(new Allowance(PER_SECOND, PER_SECOND)), name);
     }
 
-    /** Makes nodes of which a few stand beside copies of the one service that the configuration names. */
+    /** Creates nodes, some of which have copies of the only service that the configuration names. */
     private static VirtualFleet settled(int nodes, int copies, int subnet) {
         VirtualFleet fleet = new VirtualFleet(9);
         List<Organisation> organisations = new ArrayList<>();
@@ -82,6 +82,7 @@
         "6, 6, 0",
         "30, 30, 0"
     })
+    /** Guards against nodes that each use the whole allowance because only few copies belong to named services. */
     void isHeldToTheAllowance(int nodes, int copies, int subnet) {
         VirtualFleet fleet = settled(nodes, copies, subnet);
         SplittableRandom random = new SplittableRandom(17);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/MessageSizes.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/MessageSizes.java
@@ -5,7 +5,7 @@
 import org.carawaysill.policy.message.StateSummary;
 
 /**
- * About how many bytes a message takes between two nodes, by its fields, the names of a site being some ten characters long.
+ * Estimates the bytes of a message between two nodes from its fields, assuming names of about ten characters.
  *
  * <p>Stateless and thread safe.
  */
--- a/policy/src/test/java/org/carawaysill/policy/fleet/Outcomes.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/Outcomes.java
@@ -10,7 +10,7 @@
 import org.carawaysill.model.request.Step;
 import org.carawaysill.model.request.UnknownReason;
 
-/** Outcomes that tests hand to a policy. Stateless and thread safe. */
+/** Outcomes that tests pass to a policy. Stateless and thread safe. */
 final class Outcomes {
 
     static final Outcome FAILED = new Outcome.Answered(new AnswerContent(500, List.of(), Body.ofText("failure")));
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PlannedStopTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PlannedStopTest.java
@@ -48,9 +48,10 @@
     class Time {
 
         /*
-         * A node is told to stop while its copy works on a request that lasts longer than the node may take. Nothing else
-         * happens there any more. It noticed the end of its time with its next report, up to 0.4 s late, had 0.3 s left to
-         * close its connections, and was killed over it now and then.
+         * Guards against a process that is killed while it closes its connections. A node is ordered to stop while its
+         * copy runs a request that takes longer than the stop may take, and no other event occurs. The node noticed the
+         * end of its time only at its next report, up to 0.4 s late, had 0.3 s left to close its connections, and was
+         * sometimes killed meanwhile.
          */
         @ParameterizedTest
         @ValueSource(longs = {0, 90, 180, 270, 360})
@@ -62,8 +63,8 @@
         }
 
         /*
-         * A process was killed at the end of its time for a stop, and nothing says what it waited for. A second before that
-         * it tells; a stop that is over by then has no such line.
+         * Guards against a process that is killed at the end of its time without a log line that says what it waited
+         * for. It writes one a second before that; a stop that is complete by then writes none.
          */
         @Test
         void thatRunsOutIsSaidWithWhatIsWaitedFor() {
@@ -118,10 +119,10 @@
         }
 
         /*
-         * Clients keep sending to a node that stops, whatever its readiness says. It went on taking their requests until the
-         * end of its time and ended under those that its copy worked on: eight clients, eight requests without an answer that
-         * had run. From the moment at which clients should have left they are refused at once, and what was taken before is
-         * answered.
+         * Guards against clients that keep sending to a stopping node, whatever its readiness. It accepted their
+         * requests until the end of its time and ended while its copy ran some: eight clients had eight requests
+         * without an answer that had run. Once clients should have left, they are refused at once, and requests
+         * accepted before are answered.
          */
         @ParameterizedTest
         @ValueSource(ints = {3, 6, 10})
@@ -172,9 +173,9 @@
         }
 
         /*
-         * A client keeps a connection open to a node that stops, and sends a request on it just after the node has nothing
-         * left to do. It was handed to the copy, and the process ended under it within 0.1 s: the client had no answer, and
-         * the copy had worked for nobody. It is refused at once, and truly not run.
+         * Guards against a request on an open connection just after a stopping node has nothing left to do. It was sent
+         * to the copy, and the process ended within 0.1 s: the client got no answer, and the copy worked for nobody. It
+         * must be refused at once, without being run.
          */
         @Test
         void clientsAreRefusedAtOnce() {
@@ -190,8 +191,8 @@
         }
 
         /*
-         * The same with work of another node that does not know that this one leaves, since what told it so was lost: the
-         * copy gets none of it, so that the other node may try another copy.
+         * The same for a request of another node that does not know of the stop because the notice was lost: the copy
+         * must not get it, so that the other node may try another copy.
          */
         @Test
         void workOfOtherNodesIsNotHandedOver() {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnDaysTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnDaysTest.java
@@ -17,15 +17,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Days on which the platform comes back from older copies, again and again, while nodes are turned away, killed and started,
- * copies leave and come, and the configuration changes. {@code -Dreturns.seeds=400 -Dreturns.first=1} plays other seeds.
+ * Random scenarios in which the platform is repeatedly restored from older states, while nodes are refused by it,
+ * killed and started, copies leave and come, and the configuration changes. {@code -Dreturns.seeds=400
+ * -Dreturns.first=1} plays other seeds.
  */
 class PlatformReturnDaysTest {
 
     private static final int SEEDS = Integer.getInteger("returns.seeds", 40);
     private static final int FIRST_SEED = Integer.getInteger("returns.first", 1);
 
-    /** Guards against beliefs that depend on the order of revisions over a return of the platform from an older copy. */
+    /** Guards against known state that depends on the order of revisions across a restore of the platform. */
     @Test
     void keepChangesInForceAndLeavingCopiesWithoutWork() {
         List<String> breaches = new ArrayList<>();
@@ -37,17 +38,17 @@
         assertEquals(List.of(), breaches);
     }
 
-    /** One day. Not thread safe. */
+    /** One scenario. Not thread safe. */
     private static final class Day {
 
         private static final long MILLI = VirtualFleet.MILLI;
         private static final long SECOND = 1000 * MILLI;
         private static final long BOUND = VirtualFleet.DRAIN_LIMIT.toNanos();
 
-        /** A process that has just started may know only the older copy for so long. */
+        /** How long a process that has just started may know only the restored older state. */
         private static final long IN_TOUCH_AFTER = 3 * SECOND;
 
-        /** What is written so soon before the platform goes away may have been read by nobody. */
+        /** Entries written less than this before the platform becomes unavailable may have been read by no node. */
         private static final long READ_WITHIN = SECOND;
 
         /** An entry that is removed sooner after the platform's return may have lapsed meanwhile. */
@@ -59,7 +60,7 @@
         private static final int NODES_OF_A_SERVICE = 6;
         private static final int SERVED_PERCENT = 97;
 
-        /** Without a few requests more than its share, a copy gets one of each some twelve. */
+        /** Unless it gets more than its share, a copy gets about one of every twelve requests. */
         private static final long REQUESTS_APART = 4 * MILLI;
 
         private static final long FIRST_ERA = 100;
@@ -135,7 +136,7 @@
             fleet.at(at + away + 300 * MILLI + random.nextLong(1200 * MILLI), this::writeAgain);
         }
 
-        /** Mostly the next one; at times one that can't be read, one of before, or one far ahead. */
+        /** Returns mostly the next era; sometimes an unreadable one, an earlier one, or one far ahead. */
         private OptionalLong nextEra() {
             return switch (random.nextInt(6)) {
                 case 0 -> OptionalLong.empty();
@@ -149,7 +150,10 @@
             IntStream.range(0, count).forEach(i -> fleet.publish("other " + i, Optional.empty()));
         }
 
-        /** The operator writes its newest configuration again; what no node can know yet counts from now on. */
+        /**
+         * Makes the operator publish the newest configuration again; a version that no node can know counts from now
+         * on.
+         */
         private void writeAgain() {
             if (!fleet.platformDown) {
                 route.writeAgain();
@@ -172,7 +176,7 @@
             versions.add(new Version(fleet.now, route.service()));
         }
 
-        /** Whether the platform is there, and nodes have time to read what is written now. */
+        /** Returns whether the platform is available, and nodes have time to read what is written now. */
         private boolean isAcknowledgedForGood(long sinceReturn) {
             return absences.stream()
                     .noneMatch(absence ->
@@ -188,7 +192,7 @@
             }
         }
 
-        /** A copy leaves by saying so, or by having its entry removed. */
+        /** Removes a copy from service, by announcing it or by removing its entry. */
         private void leave(VirtualNode node, boolean saysSo) {
             if (!isAcknowledgedForGood(saysSo ? 0 : STABLE_AFTER)) {
                 fleet.at(fleet.now + 200 * MILLI, () -> leave(node, saysSo));
@@ -279,7 +283,9 @@
             }
         }
 
-        /** The service of the newest version that must be in force at a moment, and those of all newer ones. */
+        /**
+         * Returns the service of the newest version that must be in force at a moment, and those of all newer versions.
+         */
         private Set<String> allowed(long at) {
             Set<String> allowed = new HashSet<>();
             for (Version version : versions) {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnTest.java
@@ -12,20 +12,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The platform comes back from an older copy: it has lost what it acknowledged, and gives its revisions out again. */
+/** The platform is restored from an older state: it has lost acknowledged writes, and assigns their revisions again. */
 class PlatformReturnTest {
 
     private static final long MILLI = VirtualFleet.MILLI;
     private static final long SECOND = 1000 * MILLI;
 
-    /** Within which a change is in force, and a leaving copy gets no more work. */
+    /** The time within which a change must be in force, and after which a leaving copy must get no work. */
     private static final long BOUND = VirtualFleet.DRAIN_LIMIT.toNanos();
 
     private static final long AWAY = 400 * MILLI;
     private static final long WRITTEN_AGAIN_AFTER = 300 * MILLI;
     private static final long COPY_AGE = 3 * SECOND;
 
-    /** When the platform goes away for the first time. */
+    /** When the platform becomes unavailable for the first time. */
     private static final long AWAY_FROM = 12 * SECOND;
 
     private static final int CHANGES_LOST = 5;
@@ -63,7 +63,7 @@
         fleet.at(at, route::writeAgain);
     }
 
-    /** Sends requests until a moment, at all nodes in turn; returns how many ran under an older configuration. */
+    /** Sends requests to all nodes in turn until a moment; returns how many ran under an older configuration. */
     private long runsByAnOlderConfiguration(long until) {
         List<VirtualNode> nodes = List.copyOf(fleet.nodes.values());
         long wrong = 0;
@@ -95,7 +95,9 @@
     @Nested
     class Configuration {
 
-        /* Guards against nodes that refuse every change after the return, since its revision is one they have seen. */
+        /*
+         * Guards against nodes that ignore every change after the return because they have already seen its revision.
+         */
         @Test
         void thatIsWrittenAfterTheReturnIsInForceInTime() {
             changesJustBeforeTheReturn();
@@ -105,7 +107,7 @@
             assertEquals(0, runsByAnOlderConfiguration(AWAY_FROM + 8 * SECOND));
         }
 
-        /* Guards against a watch that goes on from a revision of before and silently misses what was written below it. */
+        /* Guards against a watch that continues from an old revision and silently misses changes written below it. */
         @Test
         void thatIsBelowTheRevisionsThatNodesKnowIsInForceInTime() {
             changesJustBeforeTheReturn();
@@ -117,7 +119,7 @@
             assertEquals(0, runsByAnOlderConfiguration(AWAY_FROM + 8 * SECOND));
         }
 
-        /* Guards against an older version that comes back while the platform shows it. */
+        /* Guards against falling back to an older version while the platform shows it. */
         @Test
         void staysInForceWhileThePlatformShowsAnOlderOne() {
             changesJustBeforeTheReturn();
@@ -125,7 +127,10 @@
             assertEquals(0, runsByAnOlderConfiguration(AWAY_FROM + 6 * SECOND));
         }
 
-        /* Guards against a node that starts on the older copy and is never told what the others know. */
+        /*
+         * Guards against a node that starts while the platform shows an older state and never receives what the others
+         * know.
+         */
         @Test
         void isToldToNodesThatStartWhileThePlatformShowsAnOlderOne() {
             changesJustBeforeTheReturn();
@@ -134,7 +139,7 @@
             assertEquals(0, runsByAnOlderConfiguration(AWAY_FROM + 6 * SECOND));
         }
 
-        /* Guards against a return that is taken for one where two follow one another. */
+        /* Guards against handling two returns in quick succession as one. */
         @ParameterizedTest
         @ValueSource(longs = {500, 1200, 3500})
         void isInForceInTimeAfterTwoReturns(long apartMillis) {
@@ -148,7 +153,7 @@
             assertEquals(0, runsByAnOlderConfiguration(lastReturn + 8 * SECOND));
         }
 
-        /* Guards against nodes that hear of a change only from others, and take it for one that they know. */
+        /* Guards against nodes that receive a change only from other nodes and mistake it for one that they know. */
         @Test
         void reachesNodesThatThePlatformTurnsAway() {
             List<VirtualNode> nodes = List.copyOf(fleet.nodes.values());
@@ -190,7 +195,7 @@
             });
         }
 
-        /* Guards against work for a copy that has left, since the platform shows it as ready again. */
+        /* Guards against work for a copy that has left because the platform shows it as ready again. */
         @ParameterizedTest
         @ValueSource(booleans = {true, false})
         void thatLeaveGetNoWorkWhileThePlatformShowsThemReady(boolean bySaying) {
@@ -201,7 +206,10 @@
             assertEquals(0, requestsTo(leaving.copy(), left + BOUND));
         }
 
-        /* Guards against nodes that start on the older copy and send work to a copy that has left. */
+        /*
+         * Guards against nodes that start while the platform shows an older state and send work to a copy that has
+         * left.
+         */
         @ParameterizedTest
         @ValueSource(booleans = {true, false})
         void thatLeaveGetNoWorkFromNodesThatStartMeanwhile(boolean bySaying) {
@@ -213,7 +221,7 @@
             assertEquals(0, requestsTo(leaving.copy(), left + BOUND));
         }
 
-        /* Guards against a leave after the return that is refused, since its revision is one that nodes have seen. */
+        /* Guards against ignoring a leave after the return because nodes have already seen its revision. */
         @ParameterizedTest
         @ValueSource(booleans = {true, false})
         void thatLeaveAfterTheReturnGetNoWorkInTime(boolean bySaying) {
@@ -225,7 +233,7 @@
             assertEquals(0, requestsTo(leaving.copy(), left + BOUND + slack));
         }
 
-        /* Guards against a living copy that is dropped, since the platform has lost its entry for a moment. */
+        /* Guards against dropping a live copy because the platform has lost its entry for a moment. */
         @Test
         void thatThePlatformHasLostStayInUse() {
             VirtualNode[] added = new VirtualNode[1];
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PostingSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PostingSite.java
@@ -13,14 +13,14 @@
 import org.carawaysill.policy.fleet.VirtualFleet.VirtualNode;
 
 /**
- * A site of fourteen nodes in three availability zones, on which some requests end the copy that runs them.
+ * A site of fourteen nodes in three availability zones, on which some requests crash the copy that runs them.
  *
- * <p>Slots, times of work, aims and limits are those of the sheet that a customer gave. Each request has a path of its own,
- * but for one popular path that twenty requests a second share. Not thread safe.
+ * <p>Slots, work times, aims and limits come from a customer's data sheet. Each request has its own path, except for
+ * one popular path that twenty requests a second share. Not thread safe.
  */
 final class PostingSite extends VirtualSite {
 
-    /** The service that most requests enter by. */
+    /** The service that most requests enter. */
     static final String STATEMENTS = "statements";
 
     /** The service at the end of most chains of calls. */
@@ -30,19 +30,19 @@
     static final String POPULAR = "popular";
     static final String POSTING = "posting";
 
-    /** What the paths begin with that end copies. */
+    /** The prefix of paths that crash copies. */
     static final String CRASH_PATH = "/history/crash-";
 
-    /** A request to another service that calls a crashing one. */
+    /** A request to another service that makes a crashing call. */
     static final String CALLER_PATH = "/caller/";
 
-    /** The crashing one that it calls. */
+    /** The name of the crashing request that it calls. */
     static final String CALLED = "called";
 
-    /** How long nobody listens where a copy has crashed. */
+    /** The time from a copy's crash until a new process listens. */
     static final long ABSENCE = 3500 * MILLI;
 
-    /** After so long all nodes are in touch with what happened. */
+    /** The time after which all nodes have been notified of a crash. */
     static final long CONTACT = 3 * SECOND;
 
     private static final long SOONEST_CRASH = 40 * MILLI;
@@ -78,12 +78,12 @@
             CALLER_PATH,
             new Work(15 * MILLI, List.of(CRASH_PATH + CALLED)));
 
-    /** Answers that the clients of ordinary requests got, by what they say. */
+    /** Answers to the clients of ordinary requests, counted by description. */
     final Map<String, Integer> answers = new HashMap<>();
 
     private final Set<String> toldNotRun = new HashSet<>();
 
-    /** Answers that the clients of crashing requests got. */
+    /** Answers to the clients of crashing requests. */
     final List<Outcome> crashingAnswers = new ArrayList<>();
 
     private long crashingRequests;
@@ -132,21 +132,21 @@
         answers.merge(said, 1, Integer::sum);
     }
 
-    /** Sends a crashing request again and again, from changing nodes and under new names. */
+    /** Sends a crashing request repeatedly, from changing nodes and under new names. */
     void crash(String name, double fromSecond, double untilSecond, double gapSeconds) {
         for (double at = fromSecond; at < untilSecond; at += gapSeconds) {
             at(at, () -> crash(CRASH_PATH + name, fleet.now, CLIENT_REPEATS));
         }
     }
 
-    /** Sends a request again and again whose copy, of another service, makes a crashing call. */
+    /** Repeatedly sends a request whose copy, of another service, makes a crashing call. */
     void callCrashing(double fromSecond, double untilSecond, double gapSeconds) {
         for (double at = fromSecond; at < untilSecond; at += gapSeconds) {
             at(at, () -> crash(CALLER_PATH + "1", fleet.now, CLIENT_REPEATS));
         }
     }
 
-    /** Sends a request once at a node, and again as its client is told. */
+    /** Sends a request once to a node, and retries it as the answer permits. */
     void crash(String path, long began, int repeats) {
         VirtualNode entry = nodes.get(random.nextInt(nodes.size()));
         long left = began + CRASHING_DEADLINE - fleet.now;
@@ -161,14 +161,14 @@
         });
     }
 
-    /** The runs of a crashing request, in the order of time. */
+    /** Returns the runs of a crashing request in order of time. */
     List<Run> runsOf(String name) {
         return fleet.runs.stream()
                 .filter(run -> run.path().equals(CRASH_PATH + name))
                 .toList();
     }
 
-    /** How many runs of a crashing request began later than all nodes knew of its third crash. */
+    /** Returns how many runs of a crashing request began after all nodes knew of its third crash. */
     long runsAfterTheThird(String name) {
         List<Run> runs = runsOf(name);
         if (runs.size() < 3) {
@@ -178,12 +178,12 @@
         return runs.stream().filter(run -> run.at() > known).count();
     }
 
-    /** How many copies crashed. */
+    /** Returns how many copies crashed. */
     int crashes() {
         return nodes.stream().mapToInt(node -> node.crashes).sum();
     }
 
-    /** Requests whose clients were told that they were not run, although a copy had begun to run them. */
+    /** Returns the requests that were answered with "not run" although a copy had begun to run them. */
     List<String> falselyToldNotRun() {
         return fleet.runs.stream()
                 .map(Run::requestName)
@@ -191,7 +191,7 @@
                 .toList();
     }
 
-    /** Crashes that some node took for what they were, so that requests were suspected. */
+    /** Returns how many crashes some node recognised, so that it suspected requests. */
     long suspicions() {
         return nodes.stream()
                 .flatMap(node -> node.log.stream())
@@ -199,7 +199,7 @@
                 .count();
     }
 
-    /** Clients of ordinary requests that were told a reason for a refusal, or for an unknown outcome. */
+    /** Returns how many answers to ordinary requests had a reason for a refusal or for an unknown outcome. */
     int told(String reason) {
         return answers.entrySet().stream()
                 .filter(entry -> entry.getKey().endsWith(reason))
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PublicationExchangeTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PublicationExchangeTest.java
@@ -16,8 +16,9 @@
     class Entries {
 
         /*
-         * All nodes start at the same moment and none knows another. Each read all entries of the platform, two calls or more,
-         * of which the platform allows and prices each; whoever is told first needs none.
+         * Guards against every node reading all entries when all nodes start at the same moment and none knows another.
+         * Such a read takes two or more calls of the platform, which limits and charges each call; a node that gets the
+         * entries from another node needs no read.
          */
         @Test
         void areReadByFewAndToldToTheRest() {
@@ -26,8 +27,9 @@
         }
 
         /*
-         * A node starts again in a fleet where nothing has changed. It has seen newer revisions than the others, which are
-         * those of heartbeats: they asked it for all entries, 25 kB for each node.
+         * Guards against full requests after the restart of a node in an unchanged fleet. The node has seen newer
+         * revisions than the others, which are those of heartbeats: they requested all entries from it, 25 kB for each
+         * node.
          */
         @Test
         void areNotAskedForWhereNothingIsNew() {
@@ -43,8 +45,8 @@
         }
 
         /*
-         * A node starts again. It was told all entries by whichever node connected first, mostly one of another zone; with a
-         * thousand routes these are 300 kB.
+         * Guards against requesting all entries from another zone after a restart. The node got them from whichever
+         * node connected first, mostly one of another zone; with a thousand routes these are 300 kB.
          */
         @Test
         void areAskedOfTheOwnZone() {
@@ -58,13 +60,14 @@
             assertTrue(node.ready);
             long entries = 260 * 40;
             long across = fleet.control.bytesAcrossZones - before;
-            // 400 ms of summaries between zones, and a greeting of each of 32 nodes both ways.
+            // 400 ms of summaries between zones, and the first messages of 32 connections, both ways.
             assertTrue(across < 0.4 * 50_000 + 64 * 70 + entries / 2, () -> across + " bytes");
         }
 
         /*
-         * A node reads everything in the very moment in which the entry of a copy has lapsed and is not back yet. The readers
-         * see the two changes together as none, so that nobody tells it: it would never use that copy again.
+         * Guards against a node that reads everything at the moment when the entry of a copy has lapsed and is not back
+         * yet. The readers see the two changes together as none, so that no node sends it the entry, and it would never
+         * use that copy again.
          */
         @Test
         void thatOneNodeMissedAreReadAgain() {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSite.java
@@ -6,10 +6,10 @@
 import org.carawaysill.policy.fleet.mechanism.Mechanism;
 
 /**
- * A site whose deepest service is needed by three of four kinds of requests: by one for long work, by two for chains of four
- * and eight short calls that they make two and one services further up.
+ * A site whose deepest service is needed by three of four kinds of requests: by one for long work, and by two for
+ * chains of four and eight short calls from one and two services further up.
  *
- * <p>Slots, speeds, times of work, aims and limits are those of the sheet that a customer gave. Not thread safe.
+ * <p>Slots, speeds, work times, aims and limits come from a customer's data sheet. Not thread safe.
  */
 final class QuoteSite extends VirtualSite {
 
@@ -32,7 +32,7 @@
             "/spec/", new Work(15 * MILLI, 0.5, List.of("/slot/", "/slot/", "/slot/", "/slot/")),
             "/slot/", new Work(55 * MILLI, 0.5, List.of()));
 
-    /** Plays without some mechanisms of the policy. */
+    /** Creates the site with some mechanisms of the policy switched off. */
     QuoteSite(long seed, Set<Mechanism> without) {
         super(seed, without, KINDS);
         configure(
--- a/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSiteTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSiteTest.java
@@ -14,17 +14,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Heavy days of a site whose deepest service binds, each with and without the mechanism that answers it.
+ * Overload on a site whose deepest service is the bottleneck, each with and without the mechanism that handles it.
  *
- * <p>Figures are means over {@link #SEEDS} seeds. The bounds lie between what was measured with the mechanism and without
- * it, each named in the test, so that a change that undoes the gain fails.
+ * <p>Figures are means over {@link #SEEDS} seeds. Each bound lies between the values measured with and without the
+ * mechanism that the test names, so that a change that undoes the gain fails.
  */
 class QuoteSiteTest {
 
     private static final int SEEDS = 4;
     private static final double SECONDS = 24;
 
-    /** At this multiple of the usual rates the deepest service is asked for 1.25 times its slots. */
+    /** At this multiple of the usual rates the demand on the deepest service is 1.25 times its slots. */
     private static final double OVERLOAD = 2.3;
 
     private static double mean(Consumer<QuoteSite> day, Set<Mechanism> without, ToDoubleFunction<QuoteSite> figure) {
@@ -47,7 +47,7 @@
     @Nested
     class LostCopies {
 
-        /** Three of four copies of the deepest service are gone by what is published, while their nodes still report. */
+        /** Three of four copies of the deepest service are no longer published, while their nodes still report. */
         private static void day(QuoteSite site) {
             site.abuse(0.4, 3);
             site.offer(OVERLOAD, 0, SECONDS);
@@ -66,9 +66,10 @@
         }
 
         /*
-         * Foundries book deposits in a rush, each with eight calls at one service, when six VMs lose the platform and three
-         * of that service's four copies count as gone. The entry went on counting the slots of all four: for eight seconds
-         * thousands of requests were let in, waited for the last copy, and failed half way.
+         * Guards against admitting requests for slots that are gone. Six VMs lose the platform during overload, and
+         * three of the four copies of the service at which each deposit makes eight calls count as gone. While the plan
+         * counted the slots of all four, thousands of requests were admitted for eight seconds, waited for the last
+         * copy, and failed half way.
          */
         @Test
         void areNotCountedInThePlan() {
@@ -92,8 +93,8 @@
         }
 
         /*
-         * In a rush, all slots of the deepest service are taken, and its copies slow down by 1.3 since they are nearly full:
-         * a fifth less is done than a moment before, requests pile up, and all slots stay taken.
+         * Guards against using all slots of the deepest service, whose copies slow down by a factor of 1.3 when they
+         * are nearly full: throughput falls by a fifth, requests pile up, and all slots stay taken.
          */
         @Test
         void keepTheirLastSlotsFree() {
@@ -106,7 +107,7 @@
     @Nested
     class SheddingCopies {
 
-        /** All copies of the deepest service refuse a bit more than half of what they get, for eight seconds. */
+        /** All copies of the deepest service refuse a bit more than half of their requests for eight seconds. */
         private static void day(QuoteSite site) {
             site.abuse(0.3, 3);
             site.offer(2, 0, SECONDS);
@@ -116,8 +117,9 @@
         }
 
         /*
-         * A deep service sheds half of its calls for reasons of its own. Nearly all chains of calls through it fail, but the
-         * plan keeps its slots for them: they stand idle, and estimators who only need one call of it are refused.
+         * Guards against idle slots when a deep service refuses half of its calls for its own reasons. Nearly all
+         * chains of calls through it fail, but the plan reserves its slots for them: the slots are idle while clients
+         * that need a single call of the service are refused.
          */
         @Test
         void stillServeShortRequestsInIdleSlots() {
@@ -136,8 +138,9 @@
         }
 
         /*
-         * On a usual day a deposit makes a dozen calls, each as likely at the slowest copy of a service as at one that is
-         * three times as fast: one in eleven misses its aim, though most slots are free.
+         * Guards against choosing copies without regard to their speed. At the usual load a deposit makes a dozen
+         * calls, each as likely at the slowest copy of a service as at one that is three times as fast: one in eleven
+         * misses its aim, though most slots are free.
          */
         @Test
         void countWhileThereIsRoom() {
@@ -146,7 +149,7 @@
             assertTrue(fastFirst > alike + 0.02, "served " + fastFirst + ", with all copies alike " + alike);
         }
 
-        /** Bytes between availability zones cost: most hops must stay within one. */
+        /** Bytes between availability zones cost: most hops must stay within one zone. */
         @Test
         void leaveMostHopsWithinAZone() {
             ToDoubleFunction<QuoteSite> hops = site -> site.fleet.sentAcrossZones;
@@ -159,7 +162,7 @@
     @Nested
     class FailingCopies {
 
-        /** One of four copies of a service in the middle of the chains answers everything with an error, at once. */
+        /** One of four copies of a service in the middle of the chains answers everything with an immediate error. */
         private static void day(QuoteSite site) {
             site.offer(1, 0, SECONDS);
             VirtualNode copy = site.services.get("quoting").get(2);
@@ -168,9 +171,9 @@
         }
 
         /*
-         * A copy's health is good, and it answers each request with an error within two milliseconds. It is always idle and
-         * seems the fastest of all, so that nearly all requests of its service go to it: issuance fails, and whatever needs
-         * the service deeper down.
+         * Guards against a copy that is reported as healthy but answers each request with an error within two
+         * milliseconds. It is always idle and seems the fastest, so that nearly all requests of its service go to it:
+         * issuance fails, and everything else that needs the service.
          */
         @Test
         void attractNoWork() {
@@ -204,7 +207,10 @@
     @Nested
     class Rank {
 
-        /** What matters most is served most often, also where a quarter of all slots is left to the least shares. */
+        /**
+         * The most important requests are served most often, even though the smallest shares get a quarter of all
+         * slots.
+         */
         @Test
         void isKeptWhileMostCopiesAreGone() {
             ToDoubleFunction<QuoteSite> gap = site -> site.served("book", 3, 5) - site.served("lookup", 3, 5);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/RandomSiteTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/RandomSiteTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Overload on sites that nobody chose: a chain of services of random depth, slots, work and fan-out, with two kinds of
- * callers' requests of different rank that both need its deepest service, at 1.7 times the load that fits.
+ * Overload on random sites: a chain of services of random depth, slots, work and fan-out, with two kinds of callers'
+ * requests of different rank that both need its deepest service, at 1.7 times the load that fits.
  *
- * <p>The bound of each site is worked out from its sheet: the important kind is served whole where it fits, and the rest of
- * the slots that bind serve the other kind.
+ * <p>The bound of each site is computed from its parameters: the important kind is served completely if it fits, and
+ * the rest of the slots of the bottleneck serve the other kind.
  */
 class RandomSiteTest {
 
@@ -47,7 +47,7 @@
         return levels;
     }
 
-    /** Slots' time at each level for one request at the first. */
+    /** Returns the slot time at each level for one request at the first. */
     private static double[] costs(List<Level> levels) {
         double[] costs = new double[levels.size()];
         double runs = 1;
--- a/policy/src/test/java/org/carawaysill/policy/fleet/ReadAnswersTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/ReadAnswersTest.java
@@ -42,7 +42,7 @@
             Duration.ZERO));
     private final ReadAnswers answers = new ReadAnswers(effects, decoder, entries, reads);
 
-    /** An entry whose text is its writer's count. */
+    /** Returns an entry whose text is its writer's count of writes. */
     private static PublishedEntry written(long revision, long write) {
         return new PublishedEntry("copy", revision, Optional.of(Long.toString(write)));
     }
@@ -66,7 +66,7 @@
     @Nested
     class Changes {
 
-        /* Guards against a copy that stays in use, since it wrote once more just before its entry was removed. */
+        /* Guards against a copy that stays in use because it wrote once more just before its entry was removed. */
         @Test
         void thatWriteAndRemoveAnEntryEndInItsRemoval() {
             receive(0, 1, 5, true, written(5, 1));
@@ -82,7 +82,10 @@
             assertEquals("2", entries.find("copy").orElseThrow().text().orElseThrow());
         }
 
-        /* Guards against another writer that takes a copy's key with a greater count: the copy's next write must hold. */
+        /*
+         * Guards against another writer that uses a copy's key with a greater count: the copy's next write must take
+         * effect.
+         */
         @Test
         void ofACopyFollowThoseOfAnotherWriter() {
             receive(0, 1, 5, true, written(5, 1));
@@ -91,7 +94,10 @@
             assertEquals("2", entries.find("copy").orElseThrow().text().orElseThrow());
         }
 
-        /* Guards against copies that do not count, and whose entry comes back at a greater revision only. */
+        /*
+         * Guards against losing copies that do not count their writes and whose entry comes back only at a greater
+         * revision.
+         */
         @Test
         void ofAWriterThatDoesNotCountFollowTheRevision() {
             receive(0, 1, 5, true, written(5, 0));
@@ -104,7 +110,7 @@
     @Nested
     class Returns {
 
-        /* Guards against changes of another era that are taken for all that there are. */
+        /* Guards against treating the changes of another era as all changes. */
         @Test
         void letEverythingBeReadAtOnce() {
             receive(0, 1, 5, true, written(5, 1));
--- a/policy/src/test/java/org/carawaysill/policy/fleet/RemovalTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/RemovalTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Copies that leave by having their entry removed, without being published as draining. */
+/** Copies that leave by the removal of their entry, without being published as draining. */
 class RemovalTest {
 
     private static final long MILLI = VirtualFleet.MILLI;
     private static final long SECOND = 1000 * MILLI;
 
-    /** Within which a copy whose entry was removed gets no more work. */
+    /** The time after which a copy whose entry was removed must get no more work. */
     private static final long BOUND = VirtualFleet.DRAIN_LIMIT.toNanos();
 
     private static final String PATH = "/entry/";
@@ -80,7 +80,10 @@
     @Nested
     class Requests {
 
-        /* Guards against a node that, turned away by the platform before, keeps a copy for gone entries that may come back. */
+        /*
+         * Guards against a node that, after the platform refused it, keeps using a removed copy because its entry may
+         * come back.
+         */
         @ParameterizedTest
         @ValueSource(longs = {0, 500, 1000, 1500, 2000, 2500})
         void areNotSentToCopiesThatLeaveAfterNodesWereTurnedAway(long afterMillis) {
@@ -90,7 +93,9 @@
             assertEquals(List.of(), lateRuns(until + 14 * SECOND));
         }
 
-        /* Guards against removals held back by all readers, where those that failed take over from those that did not. */
+        /*
+         * Guards against removals held back by all readers when those that failed take over from those that did not.
+         */
         @ParameterizedTest
         @ValueSource(longs = {5200, 5700, 6200, 6700, 7200, 7700, 8200})
         void areNotSentToCopiesThatLeaveWhileReadersThatFailedComeBack(long afterMillis) {
@@ -100,7 +105,7 @@
             assertEquals(List.of(), lateRuns(FIRST_TURNED_AWAY + 13 * SECOND));
         }
 
-        /* Guards against a removal that neither the node that was turned away nor those that it tells learn in time. */
+        /* Guards against a removal that neither the refused node nor the nodes that it informs learn in time. */
         @Test
         void areNotSentToCopiesThatLeaveWhileOneZoneAfterTheOtherIsTurnedAway() {
             for (int turn = 0; turn < ZONES; turn++) {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/Routes.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/Routes.java
@@ -6,7 +6,7 @@
 import org.carawaysill.model.fleet.Route;
 import org.carawaysill.model.identity.ServiceName;
 
-/** Routes of tests: named by their prefix, to one service. Stateless and thread safe. */
+/** Creates routes for tests, named by their prefix, to one service. Stateless and thread safe. */
 final class Routes {
 
     private Routes() {}
@@ -36,7 +36,7 @@
                 true);
     }
 
-    /** Gives a route that is open without a key. */
+    /** Returns a copy of a route that requires no key. */
     static Route withoutKey(Route route) {
         return new Route(
                 route.name(),
--- a/policy/src/test/java/org/carawaysill/policy/fleet/RunsInWindows.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/RunsInWindows.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** Counts what a fleet ran for an organisation. Stateless and thread safe. */
+/** Counts the runs of an organisation's requests in a fleet. Stateless and thread safe. */
 final class RunsInWindows {
 
     private RunsInWindows() {}
 
-    /** Returns the most runs within any window of that length. */
+    /** Returns the largest number of runs within any window of the given length. */
     static int most(VirtualFleet fleet, String organisation, long windowNanos) {
         List<Long> times = fleet.runs.stream()
                 .filter(run -> run.organisation()
--- a/policy/src/test/java/org/carawaysill/policy/fleet/SettledFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/SettledFleet.java
@@ -7,7 +7,7 @@
 import org.carawaysill.policy.fleet.VirtualFleet.VirtualNode;
 import org.carawaysill.policy.fleet.summary.NodeRank;
 
-/** Tests of nodes in five availability zones that all know one another. Not thread safe. */
+/** Base class of tests with nodes in five availability zones that are all connected to each other. Not thread safe. */
 abstract class SettledFleet {
 
     static final long MILLI = VirtualFleet.MILLI;
@@ -19,7 +19,7 @@
     final VirtualFleet fleet = new VirtualFleet(7);
     final List<VirtualNode> nodes = new ArrayList<>();
 
-    /** Nodes of one service in five availability zones, all of which know one another. */
+    /** Starts nodes of one service in five availability zones and waits until all are connected to each other. */
     final void settled(int count) {
         fleet.configure(Routes.route(PATH, "front", true, 1, 900, 500));
         for (int i = 0; i < count; i++) {
@@ -36,7 +36,7 @@
                 .toList();
     }
 
-    /** The node of a zone that is the last to sum up for it. */
+    /** Returns the node of a zone that ranks last as an aggregator. */
     static VirtualNode member(List<VirtualNode> zone) {
         return zone.stream()
                 .max(Comparator.comparing(node -> node.name, NodeRank.ORDER))
--- a/policy/src/test/java/org/carawaysill/policy/fleet/ShiftedSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/ShiftedSite.java
@@ -13,10 +13,11 @@
 import org.carawaysill.model.request.Outcome;
 
 /**
- * A site of 58 nodes in three availability zones, whose deepest service has five copies: bills make eight calls there and
- * lookups four, beside short reads that go there directly and are worth most for their time. Organisations of two ranks ask.
+ * A site of 58 nodes in three availability zones, whose deepest service has five copies: bills make eight calls there
+ * and lookups four, in addition to short reads that go there directly and are worth most for their time. The clients
+ * belong to organisations of two ranks.
  *
- * <p>Slots, speeds, times of work, aims and limits are those of the sheet that a customer gave. Not thread safe.
+ * <p>Slots, speeds, work times, aims and limits come from a customer's data sheet. Not thread safe.
  */
 final class ShiftedSite extends VirtualSite {
 
@@ -47,7 +48,7 @@
 
     private final List<Credential> credentials = new ArrayList<>();
     private final Map<Credential, Tries> tries = new HashMap<>();
-    /** What became of the tries of one organisation. */
+    /** The attempts of one organisation and their results. */
     private static final class Tries {
 
         private int sent;
@@ -96,13 +97,13 @@
         of.good += Outcomes.isGood(outcome) ? 1 : 0;
     }
 
-    /** The part of all tries that was answered by a copy. */
+    /** Returns the share of all attempts that a copy answered. */
     double goodOfAll() {
         double sent = tries.values().stream().mapToInt(each -> each.sent).sum();
         return tries.values().stream().mapToInt(each -> each.good).sum() / sent;
     }
 
-    /** The part of the tries of the organisation that is served worst. */
+    /** Returns the share of answered attempts of the organisation with the smallest one. */
     double goodOfTheWorst() {
         return tries.values().stream()
                 .mapToDouble(each -> each.good / (double) each.sent)
--- a/policy/src/test/java/org/carawaysill/policy/fleet/ShiftedSiteTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/ShiftedSiteTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Heavy days of a site on which organisations of two ranks ask for more than its deepest service can do. */
+/** Overload on a site where organisations of two ranks request more than its deepest service can do. */
 class ShiftedSiteTest {
 
     private static final double SECONDS = 10;
@@ -13,7 +13,10 @@
     @Nested
     class Organisations {
 
-        /** Who is refused: at 2.3 times the usual load the first rank asks for all there is, and the last one starved. */
+        /**
+         * Guards against starvation of the last rank: at 2.3 times the usual load the first rank alone requests all
+         * capacity.
+         */
         @Test
         void areEachServedAtLeastAQuarterAsOftenAsAll() {
             ShiftedSite site = new ShiftedSite(1);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/TestKeys.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/TestKeys.java
@@ -13,7 +13,7 @@
 import org.carawaysill.model.request.Credential;
 import org.carawaysill.model.request.Header;
 
-/** Keys of tests, and organisations that hold them. Stateless and thread safe. */
+/** Creates keys for tests and organisations that hold them. Stateless and thread safe. */
 final class TestKeys {
 
     private TestKeys() {}
@@ -22,7 +22,7 @@
         return KeyDigest.of(key.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns what a request with a key presents. */
+    /** Returns the credential of a request with a key. */
     static Credential key(String key) {
         return new Credential(List.of(new Header("Authorization", "Token " + key)), Optional.of(digest(key)));
     }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/Traffic.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/Traffic.java
@@ -2,7 +2,7 @@
 
 import org.carawaysill.policy.message.PeerMessage;
 
-/** What was sent between nodes. Not thread safe. */
+/** Counts the messages sent between nodes and their bytes. Not thread safe. */
 final class Traffic {
 
     long messages;
--- a/policy/src/test/java/org/carawaysill/policy/fleet/VirtualFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/VirtualFleet.java
@@ -43,9 +43,9 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Nodes with their policies, copies that call each other, and a platform, in virtual time: fakes at the policy's edges.
+ * Simulates nodes with their policies, copies that call each other, and a platform, in virtual time.
  *
- * <p>Everything that happens is decided by the seed. Not thread safe.
+ * <p>The seed determines everything that happens. Not thread safe.
  */
 final class VirtualFleet {
 
@@ -55,7 +55,7 @@
 
     private static final long HOP = MILLI;
 
-    /** An entry that is not written any more lapses after three intervals of 1.5 s. */
+    /** An entry that is no longer written lapses after three intervals of 1.5 s. */
     private static final long LAPSE = 4500 * MILLI;
 
     private static final long READ = 4 * MILLI;
@@ -70,7 +70,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Timed::at).thenComparingLong(Timed::order));
     long now = 1000 * MILLI;
     boolean platformDown;
-    /** Connections that carry nothing any more, without a sign at either end. */
+    /** Connections that silently drop all messages. */
     private final Set<Set<NodeName>> silenced = new HashSet<>();
 
     long answerLost;
@@ -80,16 +80,16 @@
     private final Map<Class<?>, Integer> sent = new HashMap<>();
     /** Requests that were sent to a copy in another availability zone. */
     long sentAcrossZones;
-    /** All messages between nodes that are neither requests nor answers. */
+    /** Messages between nodes other than requests, answers and cancellations. */
     final Traffic control = new Traffic();
     /** Requests, answers and cancellations between nodes. */
     final Traffic payload = new Traffic();
 
-    /** Whose keys the next configuration holds; empty where no keys are checked. */
+    /** The organisations of the next configuration; empty if no keys are checked. */
     Optional<Organisations> organisations = Optional.empty();
 
     private long order;
-    /** Empty for a platform that tells none. */
+    /** The platform's era; empty if the platform states none. */
     OptionalLong era = OptionalLong.of(1);
 
     private long revision;
@@ -97,23 +97,23 @@
     private long texts;
     private long exchanges;
 
-    /** A summary of the whole fleet, and when it came. */
+    /** A summary of the whole fleet, and when it was received. */
     record Told(long at, StateSummary summary) {}
 
     /** A run of a request at a copy. */
     record Run(long at, String requestName, String path, String copy, Optional<OrganisationName> organisation) {}
 
     /**
-     * A request that ends the copy that runs it.
+     * A request that crashes the copy that runs it.
      *
-     * @param prefix what its path begins with
-     * @param soonest nanoseconds after its beginning at which the copy ends at the soonest
-     * @param latest nanoseconds after its beginning before which the copy ends
-     * @param absence nanoseconds until another process listens there
+     * @param prefix the prefix of its path
+     * @param soonest the least time in nanoseconds from its start to the crash
+     * @param latest the bound of the time in nanoseconds from its start to the crash
+     * @param absence the time in nanoseconds until another process listens there
      */
     record Fatal(String prefix, long soonest, long latest, long absence) {}
 
-    /** What the platform held at a moment. */
+    /** A snapshot of the platform's state. */
     record PlatformCopy(long revision, Map<String, PublishedEntry> entries) {}
 
     private record Timed(long at, long order, Runnable action) {}
@@ -122,7 +122,7 @@
         this(seed, Set.of());
     }
 
-    /** Plays without some mechanisms of the policy. */
+    /** Creates a fleet with some mechanisms of the policy switched off. */
     VirtualFleet(long seed, Set<Mechanism> without) {
         this.without = without;
         random = new SplittableRandom(seed);
@@ -145,7 +145,7 @@
         return new PlatformCopy(revision, Map.copyOf(platform));
     }
 
-    /** Lets the platform come back from a copy: what was written since is lost, and its revisions are given out again. */
+    /** Restores the platform from a snapshot: later writes are lost, and their revisions are assigned again. */
     void returnFrom(PlatformCopy copy) {
         revision = copy.revision();
         era = era.isPresent() ? OptionalLong.of(era.getAsLong() + 1) : era;
@@ -153,7 +153,7 @@
         platform.putAll(copy.entries());
     }
 
-    /** Returns the version of the configuration that was written last. */
+    /** Returns the version of the configuration that was published last. */
     long version() {
         return version;
     }
@@ -169,7 +169,7 @@
         configure(++version, routes);
     }
 
-    /** Writes a version again, or for the first time. */
+    /** Publishes a version, possibly again. */
     void configure(long configurationVersion, Route... routes) {
         publish(
                 "configuration",
@@ -197,22 +197,22 @@
         return node;
     }
 
-    /** How many messages of a kind nodes sent to one another. */
+    /** Returns how many messages of a type nodes sent to one another. */
     int told(Class<? extends PeerMessage> kind) {
         return sent.getOrDefault(kind, 0);
     }
 
-    /** Lets the connection between two nodes go silent, until one of them gives it up. */
+    /** Makes the connection between two nodes drop all messages until one of them resets it. */
     void silence(VirtualNode one, VirtualNode other) {
         silenced.add(Set.of(one.name, other.name));
     }
 
-    /** Sends a request of a client; the outcome comes when there is one. */
+    /** Sends a client's request; the receiver gets the outcome. */
     void send(VirtualNode entry, String name, String path, long patience, BiConsumer<Long, Outcome> receiver) {
         send(entry, name, path, Credential.NONE, patience, receiver);
     }
 
-    /** Sends a request of a client that presents something; the outcome comes when there is one. */
+    /** Sends a client's request with a credential; the receiver gets the outcome. */
     void send(
             VirtualNode entry,
             String name,
@@ -223,7 +223,7 @@
         entry.arrive(name, path, credential, Optional.of(Duration.ofNanos(patience)), receiver);
     }
 
-    /** A node, the copy beside it, and their VM. */
+    /** A node, its copy, and their VM. */
     final class VirtualNode {
 
         final String service;
@@ -235,7 +235,7 @@
         private final Map<ExchangeIdentifier, BiConsumer<Long, Outcome>> receivers = new HashMap<>();
         private final Set<AttemptIdentifier> atCopy = new LinkedHashSet<>();
         private final List<NodeName> connected = new ArrayList<>();
-        /** What those that sum up for its zone told it last. */
+        /** The latest summary from each aggregator of its zone. */
         final Map<NodeName, Told> told = new HashMap<>();
 
         FleetPolicy policy;
@@ -243,33 +243,33 @@
         boolean readable = true;
         boolean ready;
         boolean stopped;
-        /** How many times as long its work takes. */
+        /** The factor by which its work takes longer. */
         double speed = 1;
-        /** From this part of its slots on its work takes longer by the factor behind it. */
+        /** The share of busy slots above which its work takes longer by {@link #kneeFactor}. */
         double knee = 2;
 
         double kneeFactor = 1;
-        /** The share of requests that it refuses although it has room. */
+        /** The share of requests that it refuses although it has free slots. */
         double shed;
-        /** The share of requests that it answers with a failure at once. */
+        /** The share of requests that it answers with an immediate error. */
         double failing;
-        /** Takes requests and answers none, as a copy that lost power or hangs. */
+        /** Whether it accepts requests and answers none, like a copy that lost power or hangs. */
         boolean silent;
 
-        /** Paths that begin so end the copy that begins to run them. */
+        /** The requests that crash the copy when it runs them. */
         Optional<Fatal> fatal = Optional.empty();
 
-        /** What happens right after its copy has crashed. */
+        /** Runs right after its copy has crashed. */
         Runnable afterCrash = () -> {};
 
-        /** How often its copy crashed. */
+        /** The number of crashes of its copy. */
         int crashes;
 
         private boolean copyRuns = true;
         int copyNumber = 1;
         long startedAtMillis;
         private long writes;
-        /** Whether its copy has an entry on the platform, and what that says. */
+        /** Whether its copy should have an entry on the platform. */
         private boolean published = true;
 
         private boolean draining;
@@ -302,7 +302,7 @@
             return new FleetPolicy(settings(STOP_LIMIT), decoder, random.split(), new Moment(now, now / MILLI));
         }
 
-        /** Changes how long a planned stop of this node may take. */
+        /** Changes the time that a planned stop of this node may take. */
         void stopWithin(Duration limit) {
             deliver(new FleetEvent.SettingsChanged(settings(limit)));
         }
@@ -332,7 +332,7 @@
             VirtualFleet.this.publish("copy " + copy(), Optional.empty());
         }
 
-        /** Writes what the platform should hold of its copy; nothing changes there where it does. */
+        /** Publishes the entry of its copy if the platform does not hold it as it should be. */
         void heartbeat() {
             boolean held = Optional.ofNullable(platform.get("copy " + copy()))
                     .flatMap(PublishedEntry::text)
@@ -347,7 +347,7 @@
             }
         }
 
-        /** Ends the copy's process: its connections close, and nobody listens until another one has started. */
+        /** Ends the copy's process: its connections close, and nothing listens until another process has started. */
         void crashCopy() {
             if (!copyRuns) {
                 return;
@@ -377,7 +377,7 @@
             publish(false);
         }
 
-        /** Starts the copy's process again under its name; it knows nothing of what was handed to it. */
+        /** Restarts the copy's process under the same name, without the requests that were sent to it. */
         void copyStartsAnew() {
             startedAtMillis = now / MILLI;
             silent = false;
@@ -389,7 +389,7 @@
             deliver(new FleetEvent.WakeUp());
         }
 
-        /** Kills the process; the copy goes on, and its calls are cut off. */
+        /** Kills the process; the copy keeps running, and its calls are cut off. */
         void kill() {
             alive = false;
             life++;
@@ -405,7 +405,7 @@
             }
         }
 
-        /** Loses power: nothing shows on its connections. */
+        /** Loses power: its connections show no sign of it. */
         void vanish() {
             alive = false;
             life++;
@@ -604,7 +604,7 @@
                             () -> call(hand, works.get(kindOf(path)), 0));
         }
 
-        /** The part of a path that its route and its work go by: up to the second slash. */
+        /** Returns the part of a path that selects its route and its work: up to the second slash. */
         private static String kindOf(String path) {
             return path.substring(0, path.indexOf('/', 1) + 1);
         }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/VirtualSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/VirtualSite.java
@@ -14,8 +14,8 @@
 import org.carawaysill.policy.fleet.mechanism.Mechanism;
 
 /**
- * A customer's site in virtual time: kinds of requests, services with copies of different speeds, and clients that come back
- * once as they are told, and some at once and more often.
+ * Simulates a customer's site in virtual time: kinds of requests, services with copies of different speeds, and clients
+ * that retry once after the given delay, and abusive ones that retry at once and more often.
  *
  * <p>Not thread safe.
  */
@@ -27,7 +27,7 @@
 
     private static final long CLIENT_HOP = 3 * MILLI;
 
-    /** A kind of request, as the sheet has it. */
+    /** A kind of request, as described in the data sheet. */
     record Kind(
             String name,
             String service,
@@ -44,7 +44,7 @@
         }
     }
 
-    /** What became of the requests of one kind that began within one window. */
+    /** The results of the requests of one kind that began within one window. */
     static final class Tally {
 
         int owed;
@@ -63,7 +63,7 @@
     private long requests;
     private int hosts;
 
-    /** Starts without nodes; some mechanisms of the policy may be switched off. */
+    /** Creates a site without nodes, with some mechanisms of the policy switched off. */
     VirtualSite(long seed, Set<Mechanism> without, List<Kind> kinds) {
         this.kinds = kinds;
         fleet = new VirtualFleet(seed, without);
@@ -78,7 +78,7 @@
         fleet.configure(routes.toArray(Route[]::new));
     }
 
-    /** To how many copies a request may be handed. */
+    /** Returns to how many copies a request may be sent. */
     int attempts() {
         return 2;
     }
@@ -92,7 +92,10 @@
         nodes.add(node);
     }
 
-    /** Adds the copies of a service with their nodes, so many in each availability zone, their speeds in turn. */
+    /**
+     * Adds the copies of a service with their nodes, with the given number in each availability zone and speeds in
+     * rotation.
+     */
     final void add(String service, int slots, double[] speeds, Map<String, Work> works, int... copiesInZone) {
         int added = 0;
         for (int zone = 0; zone < copiesInZone.length; zone++) {
@@ -103,12 +106,12 @@
         }
     }
 
-    /** Makes an answer of some bytes. */
+    /** Returns an answer of a number of bytes. */
     static Body answer(int bytes) {
         return Body.wrap(new byte[bytes]);
     }
 
-    /** Lets the copies of a service slow down when less than a twentieth of their slots is free. */
+    /** Makes the copies of a service slow down when less than a twentieth of their slots is free. */
     final void slowsDownWhenNearlyFull(String service) {
         services.get(service).forEach(node -> {
             node.knee = 0.95;
@@ -116,13 +119,13 @@
         });
     }
 
-    /** Lets a share of the clients repeat so many times more, at once. */
+    /** Makes a share of the clients retry at once, with a number of additional retries. */
     void abuse(double share, int times) {
         abusers = share;
         abuses = times;
     }
 
-    /** Lets requests of all kinds come at a multiple of their usual rates, by chance and evenly over the nodes. */
+    /** Schedules requests of all kinds at a multiple of their usual rates, at random times and at random nodes. */
     void offer(double factor, double fromSecond, double untilSecond) {
         for (Kind kind : kinds) {
             double at = fromSecond;
@@ -146,17 +149,17 @@
         attempt(new Request(kind, tally, pathOf(kind), credentialOf(kind), fleet.now, abuser), abuser ? 1 + abuses : 1);
     }
 
-    /** What a new request presents to show its organisation. */
+    /** Returns the credential of a new request. */
     Credential credentialOf(Kind kind) {
         return Credential.NONE;
     }
 
-    /** The path of a new request; a client that comes back uses it again. */
+    /** Returns the path of a new request; retries use it again. */
     String pathOf(Kind kind) {
         return kind.path();
     }
 
-    /** What a client asks for, over all its tries. */
+    /** A client's request, over all its attempts. */
     private record Request(Kind kind, Tally tally, String path, Credential credential, long began, boolean abuser) {}
 
     private void attempt(Request request, int repeats) {
@@ -199,28 +202,31 @@
         fleet.at(fleet.now + wait, () -> attempt(request, repeats - 1));
     }
 
-    /** Receives each answer that a client of an organisation gets. */
+    /** Receives each answer to a client of an organisation. */
     void noted(Credential credential, Outcome outcome) {}
 
-    /** Hears of each answer that a client gets. */
+    /** Receives each answer to a client. */
     void noted(String name, Outcome outcome) {}
 
-    /** Plays until so many seconds after the start of traffic. */
+    /** Runs the simulation until a number of seconds after the start of traffic. */
     void play(double seconds) {
         fleet.runUntil(START + (long) (seconds * SECOND));
     }
 
-    /** Does something at a time after the start of traffic. */
+    /** Schedules an action at a time after the start of traffic. */
     void at(double seconds, Runnable action) {
         fleet.at(START + (long) (seconds * SECOND), action);
     }
 
-    /** The part of what is owed in some windows of two seconds that was answered within its aim, weighed by worth. */
+    /**
+     * Returns the share of requests that began in some windows of two seconds and were answered within their aim,
+     * weighted by worth.
+     */
     double served(int firstWindow, int lastWindow) {
         return served(kinds, firstWindow, lastWindow);
     }
 
-    /** The part of one kind's requests in some windows that was answered within its aim. */
+    /** Returns the share of one kind's requests in some windows that were answered within their aim. */
     double served(String name, int firstWindow, int lastWindow) {
         List<Kind> named =
                 kinds.stream().filter(kind -> kind.name().equals(name)).toList();
--- a/policy/src/test/java/org/carawaysill/policy/fleet/Work.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/Work.java
@@ -5,14 +5,14 @@
 import org.carawaysill.model.request.Body;
 
 /**
- * What a copy does for a request: its own work, before it the calls, one after the other.
+ * The work of a copy for a request: the calls, one after the other, and then its own work.
  *
  * <p>Immutable and thread safe.
  *
- * @param nanos mean time of its own work
- * @param spread how much that varies: the standard deviation of its logarithm
+ * @param nanos the mean time of its own work
+ * @param spread the standard deviation of the logarithm of that time
  * @param calls the paths that it calls
- * @param answer what it answers
+ * @param answer its answer
  */
 record Work(long nanos, double spread, List<String> calls, Body answer) {
 
