--- a/policy/src/main/java/org/carawaysill/policy/fleet/Admission.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Admission.java
@@ -32,7 +32,7 @@
     private final EntryPlan plan;
     private final RandomGenerator random;
     private final ShareGate shareGate = new ShareGate();
-    private final InnerRoutes innerRoutes = new InnerRoutes();
+    private final CalledRoutes calledRoutes = new CalledRoutes();
 
     Admission(FleetParts parts, RandomGenerator random) {
         localRuns = parts.localRuns();
@@ -66,7 +66,7 @@
 
     private Origin call(LocalRun parent, Route route) {
         CopyRequest running = parent.request();
-        innerRoutes.called(route.name());
+        calledRoutes.add(route.name());
         return new Origin(
                 running.rootRoute(),
                 Optional.empty(),
@@ -78,7 +78,7 @@
 
     /** Returns whether a copy makes a request while it runs another one, judged by the request's name or its route. */
     boolean isCall(Route route, Origin origin) {
-        return origin.parent().isPresent() || origin.organisation().isEmpty() && innerRoutes.contains(route.name());
+        return origin.parent().isPresent() || origin.organisation().isEmpty() && calledRoutes.contains(route.name());
     }
 
     /**
@@ -99,7 +99,7 @@
         DemandKey key = request.demandKey();
         demand.offered(key);
         if (!shareGate.admit(key, plan.share(key))) {
-            return Optional.of(notRun(RefusalReason.OVERLOAD, comeBack(route)));
+            return Optional.of(notRun(RefusalReason.OVERLOAD, randomRetryAfter(route)));
         }
         organisation.ifPresent(known -> {
             allowances.take(now, known.name());
@@ -113,7 +113,7 @@
     }
 
     /** Refunds the organisation's allowance for a request that no copy ran. */
-    void ended(long now, OutgoingRequest request, Outcome outcome) {
+    void refund(long now, OutgoingRequest request, Outcome outcome) {
         if (outcome instanceof Outcome.NotRun) {
             request.charged().ifPresent(name -> allowances.giveBack(now, name, request.arrivedNanos()));
         }
@@ -124,7 +124,7 @@
      * short enough that an answer is still worth most to the caller, who counts from the first attempt. A later time
      * does not lower the load: each client retries once.
      */
-    private Duration comeBack(Route route) {
+    private Duration randomRetryAfter(Route route) {
         long aim = route.aim().toNanos();
         return Duration.ofNanos(aim / 8 + random.nextLong(Math.max(1, aim / 4)));
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Arrivals.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Arrivals.java
@@ -19,7 +19,7 @@
  */
 final class Arrivals {
 
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final Admission admission;
     private final FinalAnswers answers;
     private final Identification identification;
@@ -40,16 +40,16 @@
         NOTHING
     }
 
-    Arrivals(Beliefs beliefs, Admission admission, FinalAnswers answers) {
-        this.beliefs = beliefs;
+    Arrivals(PublishedView view, Admission admission, FinalAnswers answers) {
+        this.view = view;
         this.admission = admission;
-        identification = new Identification(beliefs);
+        identification = new Identification(view);
         this.answers = answers;
     }
 
     /** Sets which requests are accepted from now on. */
-    void take(Intake allowed) {
-        intake = allowed;
+    void setIntake(Intake newIntake) {
+        intake = newIntake;
     }
 
     /** Creates an outgoing request for an arrival; returns empty if the arrival is refused. */
@@ -57,11 +57,11 @@
         if (intake == Intake.NOTHING) {
             return refused(arrival, RefusalReason.DRAINING, Step.DRAIN);
         }
-        if (beliefs.configuration().isEmpty()) {
+        if (view.configuration().isEmpty()) {
             return refused(arrival, RefusalReason.NO_CONFIGURATION, Step.CONFIGURATION);
         }
         Optional<Route> found =
-                beliefs.routes().find(arrival.host(), arrival.content().path());
+                view.routes().find(arrival.host(), arrival.content().path());
         if (found.isEmpty()) {
             return refused(arrival, RefusalReason.UNKNOWN_OPERATION, Step.ROUTING);
         }
@@ -83,11 +83,11 @@
                 .filter(patience -> patience.compareTo(route.timeout()) < 0)
                 .orElse(route.timeout());
         return Optional.of(new OutgoingRequest(
-                identification.toPass(arrival), route, splits.next(route), origin, now, now + wait.toNanos()));
+                identification.toForward(arrival), route, splits.next(route), origin, now, now + wait.toNanos()));
     }
 
     private Optional<OutgoingRequest> refused(FleetEvent.RequestArrived arrival, RefusalReason reason, Step step) {
-        answers.refuseUntaken(
+        answers.refuseUnaccepted(
                 arrival, new Outcome.NotRun(reason, OutgoingRequests.UNREACHABLE_RETRY_AFTER, step, Optional.empty()));
         return Optional.empty();
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/AttemptRules.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/AttemptRules.java
@@ -19,20 +19,20 @@
     /**
      * The maximum number of sends, each to another copy. The route limits only attempts that may have reached a copy.
      */
-    private static final int MOST_SENDS = 4;
+    private static final int MAXIMUM_SENDS = 4;
 
     /**
      * The least time to the deadline at which a retry is useful: two hops and the shortest service time. With less time
      * left, a retry would only waste work.
      */
-    private static final long LEAST_TIME_FOR_RETRY_NANOS = Duration.ofMillis(20).toNanos();
+    private static final long MINIMUM_RETRY_TIME_NANOS = Duration.ofMillis(20).toNanos();
 
     private AttemptRules() {}
 
     /** Records the outcome in the statistics of the copy; a refusal by the copy's node says nothing about the copy. */
-    static void judge(long now, Copy copy, Outcome outcome) {
+    static void recordOutcome(long now, Copy copy, Outcome outcome) {
         switch (outcome) {
-            case Outcome.Answered _ -> copy.ended(now, isWhole(outcome));
+            case Outcome.Answered _ -> copy.ended(now, isSuccess(outcome));
             case Outcome.NotRun notRun when notRun.reason() == RefusalReason.COPY_REFUSED -> copy.ended(now, false);
             case Outcome.NotRun _ -> copy.withdrawn();
             case Outcome.Unknown unknown when unknown.reason() == UnknownReason.DEADLINE -> copy.withdrawn();
@@ -41,12 +41,12 @@
     }
 
     /** Returns whether a copy answered without a server error. */
-    static boolean isWhole(Outcome outcome) {
+    static boolean isSuccess(Outcome outcome) {
         return outcome instanceof Outcome.Answered answered
                 && answered.content().status() < SERVER_ERROR;
     }
 
-    static boolean isWorthAnotherCopy(RefusalReason reason) {
+    static boolean mayTryAnotherCopy(RefusalReason reason) {
         return switch (reason) {
             case QUEUE_FULL, DRAINING, COPY_REFUSED, COPY_UNREACHABLE, PEER_UNREACHABLE, DUPLICATE, SUSPECTED -> true;
             case RING_FULL,
@@ -74,7 +74,7 @@
         };
     }
 
-    static boolean isWorthAnotherCopy(UnknownReason reason) {
+    static boolean mayTryAnotherCopy(UnknownReason reason) {
         return switch (reason) {
             case PEER_LOST, COPY_LOST, COPY_CRASHED, TRUNCATED -> true;
             // After a quarantine the next copy would crash too, and after the deadline nobody waits. The other reasons
@@ -90,7 +90,7 @@
                 : RetryReason.NOT_RUN;
     }
 
-    static boolean hasTimeAndSends(long now, OutgoingRequest request) {
-        return request.limitNanos() - now > LEAST_TIME_FOR_RETRY_NANOS && request.sends() < MOST_SENDS;
+    static boolean hasTimeAndSendsLeft(long now, OutgoingRequest request) {
+        return request.deadlineNanos() - now > MINIMUM_RETRY_TIME_NANOS && request.sentAttempts() < MAXIMUM_SENDS;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/InnerRoutes.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/CalledRoutes.java
@@ -9,15 +9,15 @@
  * <p>A call whose parent request is unknown, because this node restarted while its copy kept running, does not count as
  * a caller's request: it belongs to a request that was admitted. Not thread safe: owned by the policy.
  */
-final class InnerRoutes {
+final class CalledRoutes {
 
     /** Bounds the memory if operators keep renaming routes. */
-    private static final int MOST = 4096;
+    private static final int MAXIMUM_ROUTES = 4096;
 
     private final Set<String> names = new HashSet<>();
 
-    void called(String route) {
-        if (names.size() < MOST) {
+    void add(String route) {
+        if (names.size() < MAXIMUM_ROUTES) {
             names.add(route);
         }
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
@@ -43,19 +43,19 @@
     private static final long SWEEP_NANOS = Duration.ofSeconds(10).toNanos();
 
     /** The retry delay for a suspected request that must run at another copy: its sender sends it there at once. */
-    private static final Duration ELSEWHERE_RETRY_AFTER = Duration.ofMillis(50);
+    private static final Duration OTHER_COPY_RETRY_AFTER = Duration.ofMillis(50);
 
     /** Copies that end for a common cause end, and are reported, within this time of each other. */
-    private static final Duration SETTLING = Duration.ofMillis(250);
+    private static final Duration COMMON_CAUSE_WINDOW = Duration.ofMillis(250);
 
     /** The time within which all nodes know of a copy that has started. */
     private static final Duration KNOWN_EVERYWHERE = Duration.ofMillis(1500);
 
     private final FleetSettings settings;
     private final Effects effects;
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final Peers peers;
-    private final Reach reach;
+    private final ReachableNodes reachableNodes;
     private final Fingerprints fingerprints = new Fingerprints();
     private final SuspectTable table = new SuspectTable();
     private long nextSweepNanos = Long.MIN_VALUE;
@@ -67,14 +67,15 @@
      * @param run the request
      * @param reason the reason
      */
-    record Lost(LocalRun run, UnknownReason reason) {}
+    record LostRun(LocalRun run, UnknownReason reason) {}
 
-    CrashSuspects(FleetSettings settings, Effects effects, Beliefs beliefs, Peers peers, Reach reach) {
+    CrashSuspects(
+            FleetSettings settings, Effects effects, PublishedView view, Peers peers, ReachableNodes reachableNodes) {
         this.settings = settings;
         this.effects = effects;
-        this.beliefs = beliefs;
+        this.view = view;
         this.peers = peers;
-        this.reach = reach;
+        this.reachableNodes = reachableNodes;
     }
 
     /** Returns what is known of a request; costs nothing as long as no copy has crashed. */
@@ -100,14 +101,14 @@
      * <p>Guards against quarantining a popular request when several copies end together for another cause: it would run
      * alone at the second copy when that one ends too.
      */
-    long settledNanos() {
-        return table.lastCrashNanos() + SETTLING.toNanos();
+    long earliestSuspectRunNanos() {
+        return table.lastCrashNanos() + COMMON_CAUSE_WINDOW.toNanos();
     }
 
     /** Decides whether a request may run at the local copy. */
     Placement placement(long now, CopyRequest request) {
         return switch (standing(now, request)) {
-            case Standing.Clear _ -> new Placement.Free();
+            case Standing.Clear _ -> new Placement.Unsuspected();
             case Standing.Suspected suspected -> placement(now, request, suspected);
             case Standing.Quarantined found -> {
                 logRefused(request.requestName(), found);
@@ -117,7 +118,7 @@
     }
 
     private Placement placement(long now, CopyRequest request, Standing.Suspected suspected) {
-        Optional<NodeName> place = place(now, request.service(), suspected);
+        Optional<NodeName> place = permittedNode(now, request.service(), suspected);
         effects.log(new Decision.SuspectHandled(
                 request.requestName(),
                 suspected.fingerprint(),
@@ -125,9 +126,9 @@
                 suspected.crashes(),
                 place.map(NodeName::value).orElse("-")));
         if (place.filter(settings.self()::equals).isPresent()) {
-            return new Placement.Here(suspected.fingerprint(), suspected.mustRunAlone());
+            return new Placement.OnlyHere(suspected.fingerprint(), suspected.mustRunAlone());
         }
-        Duration retryAfter = place.isPresent() ? ELSEWHERE_RETRY_AFTER : KNOWN_EVERYWHERE;
+        Duration retryAfter = place.isPresent() ? OTHER_COPY_RETRY_AFTER : KNOWN_EVERYWHERE;
         return new Placement.Refused(new Outcome.NotRun(RefusalReason.SUSPECTED, retryAfter, Step.QUEUE, place));
     }
 
@@ -158,11 +159,11 @@
      * crash is known. When all copies crash and restart, each node learns of its own first: a request that crashed
      * several copies waits until all nodes know which are back, so that it does not run at each of them.
      */
-    private Optional<NodeName> place(long now, ServiceName service, Standing.Suspected suspected) {
+    private Optional<NodeName> permittedNode(long now, ServiceName service, Standing.Suspected suspected) {
         Set<NodeName> candidates = new HashSet<>();
-        for (Copy copy : beliefs.copies().usable(service)) {
+        for (Copy copy : view.copies().usable(service)) {
             boolean known = !suspected.mustRunAlone() || copy.isKnownFor(now, KNOWN_EVERYWHERE);
-            boolean inReach = reach.contains(now, copy.node());
+            boolean inReach = reachableNodes.contains(now, copy.node());
             if (known && inReach && !table.hasCrashed(fingerprints.start(copy.record()))) {
                 candidates.add(copy.node());
             }
@@ -173,7 +174,7 @@
     }
 
     /** Records a crash of the local copy, notifies other nodes, and returns the requests that were lost. */
-    List<Lost> crashed(long now, CopyRecord record, List<LocalRun> runs) {
+    List<LostRun> crashed(long now, CopyRecord record, List<LocalRun> runs) {
         effects.count(CrashCount.COPY_CRASHED);
         Map<LocalRun, Fingerprint> byRun = new LinkedHashMap<>();
         runs.forEach(run -> byRun.put(
@@ -187,18 +188,19 @@
         Set<Fingerprint> suspects = new LinkedHashSet<>(all);
         suspects.removeIf(fingerprint -> !isSuspected(now, fingerprint));
         boolean certain = suspects.size() == 1
-                && runs.stream().anyMatch(run -> isIsolated(run, suspects))
+                && runs.stream().anyMatch(run -> wasSentAsSuspect(run, suspects))
                 && table.wouldBeCause(now, record.service(), suspects.iterator().next());
-        Set<Fingerprint> blamed = suspects.isEmpty() ? all : suspects;
+        Set<Fingerprint> possibleCauses = suspects.isEmpty() ? all : suspects;
         // The other requests stay suspected beside a cause, whose presence may have been a coincidence.
-        note(now, record, all, certain ? all : blamed);
+        addToTable(now, record, all, certain ? all : possibleCauses);
         if (certain) {
             quarantine(now, record, suspects.iterator().next());
         }
-        tell(now, record.service(), all);
-        UnknownReason ofBlamed = certain ? UnknownReason.QUARANTINED : UnknownReason.COPY_CRASHED;
+        notifyNodes(now, record.service(), all);
+        UnknownReason possibleCauseReason = certain ? UnknownReason.QUARANTINED : UnknownReason.COPY_CRASHED;
         return runs.stream()
-                .map(run -> new Lost(run, blamed.contains(byRun.get(run)) ? ofBlamed : UnknownReason.COPY_LOST))
+                .map(run -> new LostRun(
+                        run, possibleCauses.contains(byRun.get(run)) ? possibleCauseReason : UnknownReason.COPY_LOST))
                 .toList();
     }
 
@@ -216,11 +218,11 @@
      * <p>A request that ran before it was suspected proves nothing: a request that many callers make runs at each of
      * several copies that lose power at the same moment.
      */
-    private static boolean isIsolated(LocalRun run, Set<Fingerprint> suspects) {
+    private static boolean wasSentAsSuspect(LocalRun run, Set<Fingerprint> suspects) {
         return run.suspected().filter(suspects::contains).isPresent();
     }
 
-    private void note(long now, CopyRecord record, Set<Fingerprint> all, Set<Fingerprint> noted) {
+    private void addToTable(long now, CopyRecord record, Set<Fingerprint> all, Set<Fingerprint> noted) {
         long start = fingerprints.start(record);
         for (Fingerprint fingerprint : all) {
             if (noted.contains(fingerprint)) {
@@ -254,24 +256,24 @@
         table.clear(now, fingerprint);
         effects.count(CrashCount.CLEARED);
         effects.log(new Decision.SuspicionChanged(fingerprint, "cleared", crashes, 0, "answered by the copy"));
-        tell(now, service, Set.of(fingerprint));
+        notifyNodes(now, service, Set.of(fingerprint));
     }
 
     /**
      * Sends the suspicions to the nodes of a service's copies, and quarantines to all nodes, where they outlast a
      * restart of all nodes of the service.
      */
-    private void tell(long now, ServiceName service, Set<Fingerprint> told) {
-        List<Suspicion> suspicions = told.stream()
+    private void notifyNodes(long now, ServiceName service, Set<Fingerprint> fingerprints) {
+        List<Suspicion> suspicions = fingerprints.stream()
                 .map(fingerprint -> table.suspicion(now, fingerprint))
                 .flatMap(Optional::stream)
                 .toList();
-        List<Suspicion> ofAll = suspicions.stream()
+        List<Suspicion> quarantines = suspicions.stream()
                 .filter(suspicion -> suspicion.quarantinedAt() > 0)
                 .toList();
-        Set<NodeName> beside = nodesBeside(service);
+        Set<NodeName> serviceNodes = nodesOf(service);
         for (NodeName peer : peers.connected()) {
-            send(peer, service, beside.contains(peer) ? suspicions : ofAll);
+            send(peer, service, serviceNodes.contains(peer) ? suspicions : quarantines);
         }
     }
 
@@ -281,9 +283,9 @@
         }
     }
 
-    private Set<NodeName> nodesBeside(ServiceName service) {
+    private Set<NodeName> nodesOf(ServiceName service) {
         Set<NodeName> nodes = new HashSet<>();
-        for (Copy copy : beliefs.copies().all()) {
+        for (Copy copy : view.copies().all()) {
             if (copy.record().service().equals(service)) {
                 nodes.add(copy.node());
             }
@@ -297,29 +299,29 @@
      * <p>A node of the service forwards a new quarantine to the service's other nodes: the node that found the cause
      * may end before it has notified all of them.
      */
-    boolean told(long now, NodeName from, PeerMessage.Suspicions told) {
+    boolean received(long now, NodeName from, PeerMessage.Suspicions message) {
         Set<Fingerprint> quarantined = new LinkedHashSet<>();
-        told.suspicions().forEach(suspicion -> quarantined.add(suspicion.fingerprint()));
+        message.suspicions().forEach(suspicion -> quarantined.add(suspicion.fingerprint()));
         quarantined.removeIf(fingerprint -> isQuarantined(now, fingerprint));
-        boolean news = false;
-        for (Suspicion suspicion : told.suspicions()) {
-            news |= table.join(now, told.service(), suspicion);
+        boolean changed = false;
+        for (Suspicion suspicion : message.suspicions()) {
+            changed |= table.join(now, message.service(), suspicion);
         }
         quarantined.removeIf(fingerprint -> !isQuarantined(now, fingerprint));
         quarantined.forEach(fingerprint -> logQuarantine(now, fingerprint, "told by " + from));
-        if (told.service().equals(settings.service())) {
-            tell(now, told.service(), quarantined);
+        if (message.service().equals(settings.service())) {
+            notifyNodes(now, message.service(), quarantined);
         }
-        return news;
+        return changed;
     }
 
     /** Sends the known suspicions to a node that has just connected: it may have restarted or missed messages. */
-    void connected(long now, NodeName peer) {
+    void peerConnected(long now, NodeName peer) {
         if (table.isEmpty()) {
             return;
         }
         Set<ServiceName> services = new LinkedHashSet<>();
-        beliefs.copies().beside(peer).forEach(copy -> services.add(copy.record().service()));
+        view.copies().beside(peer).forEach(copy -> services.add(copy.record().service()));
         services.forEach(service -> send(peer, service, table.suspicions(now, service)));
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FinalAnswers.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FinalAnswers.java
@@ -14,29 +14,29 @@
 final class FinalAnswers {
 
     private final Effects effects;
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final DemandMeter demand;
     private final EntryPlan plan;
 
     FinalAnswers(FleetParts parts) {
         effects = parts.effects();
-        beliefs = parts.beliefs();
+        view = parts.view();
         demand = parts.demand();
         plan = parts.plan();
     }
 
     /** Answers a request that is refused before it is accepted. */
-    void refuseUntaken(FleetEvent.RequestArrived arrival, Outcome.NotRun refusal) {
+    void refuseUnaccepted(FleetEvent.RequestArrived arrival, Outcome.NotRun refusal) {
         effects.count(refusal.reason());
-        effects.log(new Decision.Answered(arrival.requestName(), "-", refusal, 0, 0, 1, beliefs.version()));
+        effects.log(new Decision.Answered(arrival.requestName(), "-", refusal, 0, 0, 1, view.version()));
         effects.add(new FleetEffect.AnswerExchange(arrival.exchange(), refusal));
     }
 
-    void give(long now, OutgoingRequest request, Outcome outcome) {
+    void answer(long now, OutgoingRequest request, Outcome outcome) {
         String route = request.route().name();
         DemandKey key = request.demandKey();
         if (request.origin().depth() == 0) {
-            learn(key, request, outcome);
+            updateCosts(key, request, outcome);
         }
         switch (outcome) {
             case Outcome.Answered _ -> {}
@@ -47,15 +47,15 @@
                 request.arrival().requestName(),
                 route,
                 outcome,
-                request.sends(),
+                request.sentAttempts(),
                 now - request.arrivedNanos(),
                 plan.share(key),
-                beliefs.version()));
+                view.version()));
         effects.add(new FleetEffect.AnswerExchange(request.arrival().exchange(), outcome));
     }
 
-    private void learn(DemandKey key, OutgoingRequest request, Outcome outcome) {
-        if (AttemptRules.isWhole(outcome)) {
+    private void updateCosts(DemandKey key, OutgoingRequest request, Outcome outcome) {
+        if (AttemptRules.isSuccess(outcome)) {
             demand.completed(key);
             plan.learn(key.route(), request.times().list());
         } else {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetParts.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetParts.java
@@ -11,9 +11,9 @@
  *
  * @param settings the node's identity and bounds
  * @param effects collects the effects of decisions
- * @param beliefs the view of what is published
+ * @param view the view of what is published
  * @param peers the connections to other nodes
- * @param reach decides which nodes may get work
+ * @param reachableNodes decides which nodes may get work
  * @param suspects tracks which requests may have crashed copies
  * @param localRuns the requests for the local copy
  * @param allowances how much organisations may send
@@ -23,9 +23,9 @@
 record FleetParts(
         FleetSettings settings,
         Effects effects,
-        Beliefs beliefs,
+        PublishedView view,
         Peers peers,
-        Reach reach,
+        ReachableNodes reachableNodes,
         CrashSuspects suspects,
         LocalRuns localRuns,
         FleetAllowances allowances,
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetPolicy.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetPolicy.java
@@ -39,7 +39,7 @@
 
     private FleetSettings settings;
     private final Effects effects = new Effects();
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final Peers peers;
     private final FleetState state;
     private final PublicationExchange exchange;
@@ -56,7 +56,7 @@
     private long lastNanos;
     private long configuredNanos = Long.MAX_VALUE;
     private long sequence;
-    private long toldDigest;
+    private long announcedDigest;
     private boolean ready;
 
     /**
@@ -70,21 +70,22 @@
     public FleetPolicy(FleetSettings settings, PublicationDecoder decoder, RandomGenerator random, Moment start) {
         this.settings = settings;
         long now = start.nanos();
-        beliefs = new Beliefs(now, settings.drainLimit(), decoder, random, effects);
+        view = new PublishedView(now, settings.drainLimit(), decoder, random, effects);
         peers = new Peers(settings.self(), effects);
         allowances = new FleetAllowances(now, settings.allowances(), random);
-        state = new FleetState(settings, effects, beliefs, peers, allowances);
-        exchange = new PublicationExchange(now, effects, beliefs);
-        toldDigest = beliefs.published().digest();
+        state = new FleetState(settings, effects, view, peers, allowances);
+        exchange = new PublicationExchange(now, effects, view);
+        announcedDigest = view.published().digest();
         demand = new DemandMeter(now);
         plan = new EntryPlan(settings.without());
-        Reach reach = new Reach(settings.self(), peers, state);
-        suspects = new CrashSuspects(settings, effects, beliefs, peers, reach);
+        ReachableNodes reachableNodes = new ReachableNodes(settings.self(), peers, state);
+        suspects = new CrashSuspects(settings, effects, view, peers, reachableNodes);
         localRuns = new LocalRuns(settings, effects, suspects);
         outgoing = new OutgoingRequests(
-                new FleetParts(settings, effects, beliefs, peers, reach, suspects, localRuns, allowances, demand, plan),
+                new FleetParts(
+                        settings, effects, view, peers, reachableNodes, suspects, localRuns, allowances, demand, plan),
                 random);
-        loads = new ServiceLoads(settings, beliefs, reach, state, localRuns);
+        loads = new ServiceLoads(settings, view, reachableNodes, state, localRuns);
         plannedStop = new PlannedStop(effects, outgoing, localRuns);
         nextTickNanos = now;
         lastNanos = now;
@@ -110,7 +111,7 @@
             case FleetEvent.PeerLost lost -> {
                 peers.lost(lost.peer());
                 state.lost(lost.peer());
-                exchange.lost(lost.peer());
+                exchange.peerLost(lost.peer());
                 localRuns.senderLost(now, lost.peer());
                 outgoing.peerLost(now, lost.peer());
             }
@@ -118,10 +119,10 @@
                 outgoing.unsent(now, request.attempt());
             case FleetEvent.PeerUnsent _, FleetEvent.WakeUp _ -> {}
             case FleetEvent.EntriesRead read -> {
-                beliefs.read(now, read);
+                view.read(now, read);
                 publicationChanged(moment);
             }
-            case FleetEvent.EntriesReadFailed failed -> beliefs.readFailed(now, failed.failure());
+            case FleetEvent.EntriesReadFailed failed -> view.readFailed(now, failed.failure());
             case FleetEvent.SettingsChanged changed -> reload(changed.settings());
             case FleetEvent.StopOrdered _ -> plannedStop.order(now);
         }
@@ -138,30 +139,30 @@
 
     private void received(Moment moment, NodeName from, PeerMessage message) {
         long now = moment.nanos();
-        peers.heard(now, from);
+        peers.received(now, from);
         switch (message) {
             case PeerMessage.CopyRequest request -> localRuns.accept(now, Optional.of(from), request);
             case PeerMessage.CopyAnswer answer -> outgoing.peerAnswered(now, from, answer);
             case PeerMessage.CancelAttempt cancel -> localRuns.cancelled(now, cancel.attempt());
             case PeerMessage.NodeReport report -> reported(now, from, report);
-            case PeerMessage.ReportWanted _ -> state.tell(from, report(now));
+            case PeerMessage.ReportWanted _ -> state.sendReport(from, report(now));
             case PeerMessage.GroupSummary(StateSummary summary) -> {
-                state.groupTold(now, from, summary);
-                exchange.heard(now, from, false, summary.published());
+                state.groupSummaryReceived(now, from, summary);
+                exchange.stateReceived(now, from, false, summary.published());
             }
             case PeerMessage.FleetSummary(StateSummary summary) -> {
-                state.fleetTold(now, from, summary);
-                exchange.heard(now, from, true, summary.published());
+                state.fleetSummaryReceived(now, from, summary);
+                exchange.stateReceived(now, from, true, summary.published());
             }
             case PeerMessage.Suspicions told -> {
-                if (suspects.told(now, from, told)) {
+                if (suspects.received(now, from, told)) {
                     localRuns.recheck(now);
                 }
             }
-            case PeerMessage.EntriesWanted wanted -> exchange.wanted(from, wanted);
+            case PeerMessage.EntriesWanted wanted -> exchange.entriesRequested(from, wanted);
             case PeerMessage.Entries entries -> {
-                beliefs.told(now, from, entries);
-                exchange.told(from, entries.position());
+                view.received(now, from, entries);
+                exchange.entriesReceived(from, entries.position());
                 publicationChanged(moment);
             }
             case PeerMessage.PeerRequest _,
@@ -182,45 +183,45 @@
     private void reported(long now, NodeName from, NodeReport report) {
         peers.reported(now, from, report);
         state.reported(now, from, report);
-        for (Copy copy : beliefs.copies().beside(from)) {
+        for (Copy copy : view.copies().beside(from)) {
             copy.told(now, report.load());
             copy.works(report.workSeconds());
         }
-        exchange.heard(now, from, report.sameZone(), report.published());
+        exchange.stateReceived(now, from, report.sameZone(), report.published());
     }
 
     private void peerConnected(long now, NodeName peer) {
         peers.connected(now, peer);
-        exchange.lost(peer);
-        suspects.connected(now, peer);
-        state.tell(peer, report(now));
+        exchange.peerLost(peer);
+        suspects.peerConnected(now, peer);
+        state.sendReport(peer, report(now));
     }
 
     /** Announces a newer published state at once: the periodic reports would reach other nodes too late. */
-    private void tellPublished(long now) {
-        long digest = beliefs.published().digest();
-        if (digest != toldDigest) {
-            toldDigest = digest;
-            state.tellPublished(now, report(now));
+    private void announcePublished(long now) {
+        long digest = view.published().digest();
+        if (digest != announcedDigest) {
+            announcedDigest = digest;
+            state.announcePublished(now, report(now));
         }
     }
 
     /** Announces the stop to all nodes, even those that know this one only from summaries: none may send work here. */
-    private void tellLeaving(long now) {
+    private void announceLeaving(long now) {
         NodeReport report = report(now);
-        peers.connected().forEach(peer -> state.tell(peer, report));
+        peers.connected().forEach(peer -> state.sendReport(peer, report));
     }
 
     private void publicationChanged(Moment moment) {
         long now = moment.nanos();
-        tellPublished(now);
-        if (beliefs.configuration().isPresent() && configuredNanos == Long.MAX_VALUE) {
+        announcePublished(now);
+        if (view.configuration().isPresent() && configuredNanos == Long.MAX_VALUE) {
             configuredNanos = now;
         }
-        peers.published(now, beliefs.copies().hosts());
-        outgoing.nodes(peers.count());
-        outgoing.routes(beliefs.routesByName().keySet());
-        beliefs.copies()
+        peers.published(now, view.copies().hosts());
+        outgoing.nodeCount(peers.count());
+        outgoing.routes(view.routesByName().keySet());
+        view.copies()
                 .at(settings.copyAddress())
                 .ifPresentOrElse(copy -> localRuns.published(moment, copy.record()), localRuns::unpublished);
     }
@@ -242,30 +243,30 @@
             nextTickNanos = now + Peers.REPORT_INTERVAL.toNanos();
             tick(now);
         }
-        if (now >= beliefs.dueNanos()) {
-            beliefs.startRead(now);
+        if (now >= view.dueNanos()) {
+            view.startRead(now);
         }
         exchange.passTime(now);
         localRuns.passTime(now);
         outgoing.passTime(now);
         showReadiness(now);
-        if (plannedStop.isLeavingToBeTold(now)) {
-            tellLeaving(now);
+        if (plannedStop.isAnnouncementDue(now)) {
+            announceLeaving(now);
         }
         plannedStop.passTime(now, settings.stopLimit());
     }
 
     private void tick(long now) {
-        beliefs.passTime(now);
+        view.passTime(now);
         suspects.passTime(now);
-        peers.passTime(now, outgoing.waitedFor());
+        peers.passTime(now, outgoing.nodesWithPendingReply());
         localRuns.endOverdue(now);
         localRuns.logLimit(now);
         demand.close(now);
-        allowances.nodes(beliefs.nodeCount(now, peers::inTouch));
+        allowances.nodes(view.nodeCount(now, peers::isReachable));
         state.tick(now, report(now));
         chooseReaders(now);
-        plan.update(state.routes(), loads.sum(now), beliefs.routesByName());
+        plan.update(state.routes(), loads.sum(now), view.routesByName());
         logShares(state.states().size());
     }
 
@@ -275,23 +276,23 @@
         List<Readers.Candidate> all = new ArrayList<>();
         Readers.Candidate self = new Readers.Candidate(settings.self(), settings.zone());
         all.add(self);
-        if (beliefs.mayReadPlatform()) {
+        if (view.mayReadPlatform()) {
             able.add(self);
         }
-        for (Copy copy : beliefs.copies().withUnnamed()) {
+        for (Copy copy : view.copies().withUnnamed()) {
             NodeName node = copy.node();
-            if (!node.equals(settings.self()) && peers.inTouch(node) && state.isListed(node)) {
+            if (!node.equals(settings.self()) && peers.isReachable(node) && state.isListed(node)) {
                 Readers.Candidate candidate =
                         new Readers.Candidate(node, copy.record().zone());
                 all.add(candidate);
                 if (readsPlatform(node)) {
                     able.add(candidate);
                 } else {
-                    beliefs.othersFailToRead(now);
+                    view.otherNodeFailedToRead(now);
                 }
             }
         }
-        beliefs.reader(now, Readers.isReader(settings.self(), able.isEmpty() ? all : able));
+        view.setReader(now, Readers.isReader(settings.self(), able.isEmpty() ? all : able));
     }
 
     private boolean readsPlatform(NodeName node) {
@@ -301,9 +302,9 @@
     private NodeReport report(long now) {
         return new NodeReport(
                 ++sequence,
-                beliefs.published(),
-                beliefs.mayReadPlatform(),
-                plannedStop.isLeavingTold(),
+                view.published(),
+                view.mayReadPlatform(),
+                plannedStop.isLeavingAnnounced(),
                 settings.service(),
                 localRuns.load(now),
                 (float) localRuns.workSeconds(now),
@@ -336,8 +337,7 @@
             ready = nowReady;
             effects.log(new Decision.NodeChanged(
                     ready ? "ready" : "not_ready",
-                    "version=" + beliefs.version() + " peers="
-                            + peers.connected().size()));
+                    "version=" + view.version() + " peers=" + peers.connected().size()));
             effects.add(new FleetEffect.ShowReadiness(ready));
         }
     }
@@ -348,7 +348,7 @@
      * @return a time on the monotonic clock in nanoseconds
      */
     public long nextWakeNanos() {
-        long control = Math.min(Math.min(nextTickNanos, beliefs.dueNanos()), exchange.nextNanos());
+        long control = Math.min(Math.min(nextTickNanos, view.dueNanos()), exchange.nextNanos());
         long stop = plannedStop.nextNanos(lastNanos, settings.stopLimit());
         return Math.min(Math.min(control, stop), Math.min(localRuns.nextNanos(), outgoing.nextNanos()));
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
@@ -34,20 +34,20 @@
 
     private final FleetSettings settings;
     private final Effects effects;
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final Peers peers;
     private final FleetAllowances allowances;
     private final Group group = new Group();
-    private final Summaries ofGroups = new Summaries();
-    private final Summaries ofFleet = new Summaries();
+    private final Summaries groupSummaries = new Summaries();
+    private final Summaries fleetSummaries = new Summaries();
     private Aggregators aggregators = new Aggregators(Map.of());
     private Map<NodeName, NodeState> states = Map.of();
     private RouteSums routes = new RouteSums();
 
-    FleetState(FleetSettings settings, Effects effects, Beliefs beliefs, Peers peers, FleetAllowances allowances) {
+    FleetState(FleetSettings settings, Effects effects, PublishedView view, Peers peers, FleetAllowances allowances) {
         this.settings = settings;
         this.effects = effects;
-        this.beliefs = beliefs;
+        this.view = view;
         this.peers = peers;
         this.allowances = allowances;
     }
@@ -60,26 +60,26 @@
     }
 
     /** Receives another aggregator's summary of the reports that it received. */
-    void groupTold(long now, NodeName from, StateSummary summary) {
-        ofGroups.told(now, from, summary);
+    void groupSummaryReceived(long now, NodeName from, StateSummary summary) {
+        groupSummaries.told(now, from, summary);
     }
 
     /** Receives the summary of the fleet from an aggregator of this node's zone. */
-    void fleetTold(long now, NodeName from, StateSummary summary) {
-        ofFleet.told(now, from, summary);
-        if (!sumsUp()) {
-            takeOver(now, ofFleet.all());
-            tellUses(now, summary);
+    void fleetSummaryReceived(long now, NodeName from, StateSummary summary) {
+        fleetSummaries.told(now, from, summary);
+        if (!isAggregator()) {
+            update(now, fleetSummaries.all());
+            updateAllowanceUses(now, summary);
         }
     }
 
     void lost(NodeName node) {
         group.lost(node);
-        ofGroups.lost(node);
-        ofFleet.lost(node);
+        groupSummaries.lost(node);
+        fleetSummaries.lost(node);
     }
 
-    private boolean sumsUp() {
+    private boolean isAggregator() {
         return !group.members().isEmpty() || aggregators.of(settings.zone()).contains(settings.self());
     }
 
@@ -88,22 +88,22 @@
      */
     void tick(long now, NodeReport own) {
         group.passTime(now);
-        ofGroups.passTime(now);
-        ofFleet.passTime(now);
+        groupSummaries.passTime(now);
+        fleetSummaries.passTime(now);
         aggregators = new Aggregators(reachableByZone());
-        boolean primary = report(now, own);
-        if (sumsUp()) {
-            sumUp(now, primary ? own : own.toBeKnown(true));
+        boolean primary = reportToAggregators(now, own);
+        if (isAggregator()) {
+            sendSummaries(now, primary ? own : own.toBeKnown(true));
         } else {
-            takeOver(now, ofFleet.all());
-            addOwn(own);
+            update(now, fleetSummaries.all());
+            addOwnDemand(own);
         }
     }
 
     private Map<AvailabilityZone, List<NodeName>> reachableByZone() {
         Map<NodeName, AvailabilityZone> zones = new HashMap<>();
-        for (Copy copy : beliefs.copies().withUnnamed()) {
-            if (peers.inTouch(copy.node())) {
+        for (Copy copy : view.copies().withUnnamed()) {
+            if (peers.isReachable(copy.node())) {
                 zones.put(copy.node(), copy.record().zone());
             }
         }
@@ -115,7 +115,7 @@
     }
 
     /** Reports to the aggregators of this zone; returns whether this node itself adds up its own demand. */
-    private boolean report(long now, NodeReport own) {
+    private boolean reportToAggregators(long now, NodeReport own) {
         List<NodeName> receivers = aggregators.of(settings.zone());
         NodeName primary = receivers.getFirst();
         for (NodeName receiver : receivers) {
@@ -129,26 +129,26 @@
 
     private void send(long now, NodeName receiver, PeerMessage message) {
         effects.add(new FleetEffect.SendToPeer(receiver, message));
-        peers.asked(now, receiver);
+        peers.expectReply(now, receiver);
     }
 
-    private void sumUp(long now, NodeReport own) {
-        StateSummary ofGroup = group.summary(settings.self(), own);
-        Set<NodeName> others = others();
-        others.forEach(other -> send(now, other, new PeerMessage.GroupSummary(ofGroup)));
-        List<StateSummary> all = new ArrayList<>(ofGroups.all());
-        all.add(ofGroup);
+    private void sendSummaries(long now, NodeReport own) {
+        StateSummary groupSummary = group.summary(settings.self(), own);
+        Set<NodeName> others = otherAggregators();
+        others.forEach(other -> send(now, other, new PeerMessage.GroupSummary(groupSummary)));
+        List<StateSummary> all = new ArrayList<>(groupSummaries.all());
+        all.add(groupSummary);
         StateSummary joined = Summaries.join(own.published(), all);
         for (NodeName member : group.members()) {
             if (!others.contains(member)) {
                 effects.add(new FleetEffect.SendToPeer(member, new PeerMessage.FleetSummary(joined)));
             }
         }
-        takeOver(now, List.of(joined));
-        tellUses(now, joined);
+        update(now, List.of(joined));
+        updateAllowanceUses(now, joined);
     }
 
-    private void tellUses(long now, StateSummary summary) {
+    private void updateAllowanceUses(long now, StateSummary summary) {
         allowances.told(now, summary.uses(), summary.nodes().size());
     }
 
@@ -157,21 +157,21 @@
      * against two aggregators that disagree on who is one: each would wait for an answer of the other, and reset the
      * connection.
      */
-    private Set<NodeName> others() {
+    private Set<NodeName> otherAggregators() {
         Set<NodeName> others = new LinkedHashSet<>(aggregators.all());
-        others.addAll(ofGroups.senders());
+        others.addAll(groupSummaries.senders());
         others.remove(settings.self());
         return others;
     }
 
-    private void takeOver(long now, List<StateSummary> summaries) {
+    private void update(long now, List<StateSummary> summaries) {
         states = Summaries.states(summaries);
         // Both aggregators of a zone add up the same demand; the one that knows more nodes has the fuller sum.
         routes = new RouteSums();
         summaries.stream()
                 .max(Comparator.comparingInt(summary -> summary.nodes().size()))
                 .ifPresent(summary -> routes.add(summary.routes()));
-        for (Copy copy : beliefs.copies().all()) {
+        for (Copy copy : view.copies().all()) {
             NodeState state = states.get(copy.node());
             if (state != null) {
                 copy.toldByOthers(now, state.load());
@@ -181,7 +181,7 @@
     }
 
     /** Adds this node's own demand if it receives no reports of other nodes. */
-    private void addOwn(NodeReport own) {
+    private void addOwnDemand(NodeReport own) {
         if (states.isEmpty()) {
             routes.add(own);
         }
@@ -192,19 +192,19 @@
      * nodes that receive summaries from it. They request the newer entries without waiting for the next periodic
      * report.
      */
-    void tellPublished(long now, NodeReport own) {
-        report(now, own);
-        if (sumsUp()) {
-            Set<NodeName> receivers = others();
+    void announcePublished(long now, NodeReport own) {
+        reportToAggregators(now, own);
+        if (isAggregator()) {
+            Set<NodeName> receivers = otherAggregators();
             receivers.addAll(group.members());
             receivers.removeAll(aggregators.of(settings.zone()));
-            receivers.forEach(receiver -> tell(receiver, own));
+            receivers.forEach(receiver -> sendReport(receiver, own));
         }
     }
 
     /** Sends this node's report to another node, which does not include it in a summary. */
-    void tell(NodeName receiver, NodeReport own) {
-        boolean sameZone = beliefs.copies().withUnnamed().stream()
+    void sendReport(NodeName receiver, NodeReport own) {
+        boolean sameZone = view.copies().withUnnamed().stream()
                 .filter(copy -> copy.node().equals(receiver))
                 .anyMatch(copy -> copy.record().zone().equals(settings.zone()));
         effects.add(new FleetEffect.SendToPeer(receiver, own.toBeKnown(sameZone)));
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Identification.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Identification.java
@@ -25,10 +25,10 @@
      */
     static final Duration CONFIRMED_WITHIN = Duration.ofSeconds(2);
 
-    private final Beliefs beliefs;
+    private final PublishedView view;
 
-    Identification(Beliefs beliefs) {
-        this.beliefs = beliefs;
+    Identification(PublishedView view) {
+        this.view = view;
     }
 
     /** The result of identifying a request. Immutable and thread safe. */
@@ -61,20 +61,20 @@
                     : new Result.Accepted(Optional.empty());
         }
         Optional<Organisation> holder = credential.key().flatMap(organisations.get()::holderOf);
-        return holder.isPresent() ? new Result.Accepted(holder) : new Result.Refused(unknown(now, credential));
+        return holder.isPresent() ? new Result.Accepted(holder) : new Result.Refused(unknownKeyReason(now, credential));
     }
 
     private Optional<Organisations> organisations() {
-        return beliefs.configuration().flatMap(FleetConfiguration::organisations);
+        return view.configuration().flatMap(FleetConfiguration::organisations);
     }
 
-    private RefusalReason unknown(long now, Credential credential) {
-        boolean mayBeNewer = credential.key().isPresent() && !beliefs.isConfirmedWithin(now, CONFIRMED_WITHIN);
+    private RefusalReason unknownKeyReason(long now, Credential credential) {
+        boolean mayBeNewer = credential.key().isPresent() && !view.isConfirmedWithin(now, CONFIRMED_WITHIN);
         return mayBeNewer ? RefusalReason.KEY_UNVERIFIED : RefusalReason.KEY_UNKNOWN;
     }
 
     /** Returns the request to forward: without its credential, unless no keys are checked here. */
-    FleetEvent.RequestArrived toPass(FleetEvent.RequestArrived arrival) {
+    FleetEvent.RequestArrived toForward(FleetEvent.RequestArrived arrival) {
         if (!arrival.credential().isPresented()) {
             return arrival;
         }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/LocalRuns.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/LocalRuns.java
@@ -46,7 +46,7 @@
     private final CopyGate gate;
     private final Map<String, LocalRun> runningByName = new HashMap<>();
     private LocalSender localSender = (_, _, _, _) -> {};
-    private Optional<CopyRecord> known = Optional.empty();
+    private Optional<CopyRecord> publishedRecord = Optional.empty();
     private int loggedLimit;
     private boolean leaving;
     private boolean unpublished;
@@ -94,10 +94,10 @@
     void published(Moment moment, CopyRecord record) {
         long now = moment.nanos();
         gate.limit(now, record.slots());
-        if (known.isPresent() && !known.get().isSameStart(record)) {
-            startedAnew(moment, record);
+        if (publishedRecord.isPresent() && !publishedRecord.get().isSameStart(record)) {
+            restarted(moment, record);
         }
-        known = Optional.of(record);
+        publishedRecord = Optional.of(record);
         unpublished = false;
         leaving = record.draining();
         if (leaving) {
@@ -114,18 +114,18 @@
     void crashed(long now, List<AttemptIdentifier> attempts) {
         List<LocalRun> runs =
                 attempts.stream().map(gate::find).flatMap(Optional::stream).toList();
-        lost(now, runs).forEach(lost -> answered(now, lost.run().request().attempt(), unknown(lost.reason())));
+        reportLost(now, runs).forEach(lost -> answered(now, lost.run().request().attempt(), unknown(lost.reason())));
         recheck(now);
     }
 
     /** Reports the end of the published copy's process as a crash, unless that end was expected. */
-    private List<CrashSuspects.Lost> lost(long now, List<LocalRun> runs) {
-        if (known.isEmpty() || leaving || unpublished || runs.isEmpty()) {
+    private List<CrashSuspects.LostRun> reportLost(long now, List<LocalRun> runs) {
+        if (publishedRecord.isEmpty() || leaving || unpublished || runs.isEmpty()) {
             return runs.stream()
-                    .map(run -> new CrashSuspects.Lost(run, UnknownReason.COPY_LOST))
+                    .map(run -> new CrashSuspects.LostRun(run, UnknownReason.COPY_LOST))
                     .toList();
         }
-        return suspects.crashed(now, known.get(), runs);
+        return suspects.crashed(now, publishedRecord.get(), runs);
     }
 
     private static Outcome unknown(UnknownReason reason) {
@@ -139,15 +139,16 @@
      * requests would hold slots until their deadlines, and the next ones would be sent on dead connections. If the copy
      * does not state when it started, only idle connections are closed.
      */
-    private void startedAnew(Moment moment, CopyRecord record) {
+    private void restarted(Moment moment, CopyRecord record) {
         gate.renewed(moment.nanos());
         effects.add(new FleetEffect.CloseIdleAtCopy());
-        List<LocalRun> runs =
-                gate.all().stream().filter(run -> isBefore(moment, run, record)).toList();
-        lost(moment.nanos(), runs).forEach(lost -> endAsUnknown(moment.nanos(), lost.run(), lost.reason()));
+        List<LocalRun> runs = gate.all().stream()
+                .filter(run -> isFromEarlierProcess(moment, run, record))
+                .toList();
+        reportLost(moment.nanos(), runs).forEach(lost -> endAsUnknown(moment.nanos(), lost.run(), lost.reason()));
     }
 
-    private static boolean isBefore(Moment moment, LocalRun run, CopyRecord record) {
+    private static boolean isFromEarlierProcess(Moment moment, LocalRun run, CopyRecord record) {
         long startedMillis = moment.epochMillis() - Nanos.toMillis(moment.nanos() - run.startedNanos());
         return run.isRunning() && startedMillis < record.startedAtMillis();
     }
@@ -187,11 +188,11 @@
     /** Starts, queues or refuses a request, depending on whether it is suspected. */
     private void admit(long now, LocalRun run) {
         switch (suspects.placement(now, run.request())) {
-            case Placement.Free _ -> {
+            case Placement.Unsuspected _ -> {
                 run.clear();
                 offer(now, run);
             }
-            case Placement.Here(Fingerprint fingerprint, boolean alone) -> {
+            case Placement.OnlyHere(Fingerprint fingerprint, boolean alone) -> {
                 run.suspect(fingerprint, alone);
                 if (!gate.hold(run)) {
                     refuse(now, run, RefusalReason.QUEUE_FULL, Step.QUEUE);
@@ -212,7 +213,7 @@
 
     private void offer(long now, LocalRun run) {
         switch (gate.offer(now, run)) {
-            case CopyGate.Offered.Started _ -> hand(run);
+            case CopyGate.Offered.Started _ -> sendToCopy(run);
             case CopyGate.Offered.Waits(Optional<LocalRun> evicted) ->
                 evicted.ifPresent(other -> refuse(now, other, RefusalReason.EVICTED, Step.QUEUE));
             case CopyGate.Offered.Full _ -> refuse(now, run, RefusalReason.QUEUE_FULL, Step.QUEUE);
@@ -220,7 +221,7 @@
         }
     }
 
-    private void hand(LocalRun run) {
+    private void sendToCopy(LocalRun run) {
         CopyRequest request = run.request();
         runningByName.put(request.requestName(), run);
         effects.add(new FleetEffect.HandToCopy(
@@ -244,7 +245,7 @@
         } else if (outcome instanceof Outcome.Answered) {
             gate.answered();
         }
-        free(now, run, ending(outcome));
+        release(now, run, ending(outcome));
         if (!(outcome instanceof Outcome.Answered)) {
             logFailure(now, run, outcome);
         }
@@ -257,12 +258,12 @@
 
     private static CopyGate.Ending ending(Outcome outcome) {
         if (outcome instanceof Outcome.Answered) {
-            return AttemptRules.isWhole(outcome) ? CopyGate.Ending.DONE : CopyGate.Ending.FAILED;
+            return AttemptRules.isSuccess(outcome) ? CopyGate.Ending.DONE : CopyGate.Ending.FAILED;
         }
         return CopyGate.Ending.BROKEN_OFF;
     }
 
-    private void free(long now, LocalRun run, CopyGate.Ending ending) {
+    private void release(long now, LocalRun run, CopyGate.Ending ending) {
         if (run.isRunning()) {
             runningByName.remove(run.request().requestName(), run);
         }
@@ -270,8 +271,8 @@
     }
 
     private void startNext(long now) {
-        gate.settleSuspectsUntil(suspects.settledNanos());
-        gate.startNext(now).forEach(run -> hand(run));
+        gate.settleSuspectsUntil(suspects.earliestSuspectRunNanos());
+        gate.startNext(now).forEach(run -> sendToCopy(run));
     }
 
     /** Ends a request that its sender has cancelled: removes it from the queue, or cancels it at the copy. */
@@ -280,7 +281,7 @@
             if (run.isRunning()) {
                 effects.add(new FleetEffect.CancelAtCopy(attempt));
             }
-            free(now, run, CopyGate.Ending.BROKEN_OFF);
+            release(now, run, CopyGate.Ending.BROKEN_OFF);
             startNext(now);
         });
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/OutgoingRequest.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/OutgoingRequest.java
@@ -29,16 +29,16 @@
     private final ServiceName service;
     private final Origin origin;
     private final long arrivedNanos;
-    private final long limitNanos;
+    private final long deadlineNanos;
     private final Set<CopyName> tried = new HashSet<>();
     private final SlotTimes times = new SlotTimes();
     private Optional<Copy> copy = Optional.empty();
     private Optional<AttemptIdentifier> attempt = Optional.empty();
-    private Optional<Outcome.Unknown> lost = Optional.empty();
-    private Optional<NodeName> place = Optional.empty();
+    private Optional<Outcome.Unknown> lostAnswer = Optional.empty();
+    private Optional<NodeName> permittedNode = Optional.empty();
     private Optional<OrganisationName> charged = Optional.empty();
-    private int sends;
-    private int handed;
+    private int sentAttempts;
+    private int possibleRuns;
     private boolean finished;
 
     /**
@@ -71,13 +71,13 @@
             ServiceName service,
             Origin origin,
             long arrivedNanos,
-            long limitNanos) {
+            long deadlineNanos) {
         this.arrival = arrival;
         this.route = route;
         this.service = service;
         this.origin = origin;
         this.arrivedNanos = arrivedNanos;
-        this.limitNanos = limitNanos;
+        this.deadlineNanos = deadlineNanos;
     }
 
     FleetEvent.RequestArrived arrival() {
@@ -106,8 +106,8 @@
     }
 
     /** Returns when the client must have an answer: its own deadline or the route's timeout, whichever comes first. */
-    long limitNanos() {
-        return limitNanos;
+    long deadlineNanos() {
+        return deadlineNanos;
     }
 
     /** Notes that the request was counted against an organisation's allowance. */
@@ -123,7 +123,7 @@
         copy = Optional.of(to);
         attempt = Optional.of(identifier);
         tried.add(to.record().copy());
-        sends++;
+        sentAttempts++;
     }
 
     Optional<Copy> copy() {
@@ -135,13 +135,13 @@
     }
 
     /** Restricts the request to the copy of a node: another node replied that it may run only there. */
-    void place(NodeName node) {
-        place = Optional.of(node);
+    void restrictTo(NodeName node) {
+        permittedNode = Optional.of(node);
     }
 
     /** Returns whether the request may be sent to the copy of a node. */
-    boolean mayGoTo(NodeName node) {
-        return place.isEmpty() || place.get().equals(node);
+    boolean maySendTo(NodeName node) {
+        return permittedNode.isEmpty() || permittedNode.get().equals(node);
     }
 
     void attemptEnded() {
@@ -154,18 +154,18 @@
     }
 
     /** Returns the number of attempts sent. */
-    int sends() {
-        return sends;
+    int sentAttempts() {
+        return sentAttempts;
     }
 
     /** Notes that an attempt may have reached a copy. */
-    void handed() {
-        handed++;
+    void countPossibleRun() {
+        possibleRuns++;
     }
 
     /** Notes that a copy may have run an attempt whose answer was lost. */
-    void lost(Outcome.Unknown outcome) {
-        lost = Optional.of(outcome);
+    void answerLost(Outcome.Unknown outcome) {
+        lostAnswer = Optional.of(outcome);
     }
 
     /**
@@ -178,12 +178,12 @@
      */
     Outcome answer(Outcome last) {
         boolean refused = last instanceof Outcome.NotRun;
-        return refused && lost.isPresent() ? lost.get() : last;
+        return refused && lostAnswer.isPresent() ? lostAnswer.get() : last;
     }
 
     /** Returns the number of attempts that may have reached a copy. */
-    int handedCount() {
-        return handed;
+    int possibleRuns() {
+        return possibleRuns;
     }
 
     /** Returns the slot time that the attempts used, including all calls that they caused. */
--- a/policy/src/main/java/org/carawaysill/policy/fleet/OutgoingRequests.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/OutgoingRequests.java
@@ -45,37 +45,37 @@
 
     private final FleetSettings settings;
     private final Effects effects;
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final Peers peers;
-    private final Reach reach;
+    private final ReachableNodes reachableNodes;
     private final LocalRuns localRuns;
     private final RandomGenerator random;
     private final CopyChoice choice;
     private final AnswerSizes answerSizes = new AnswerSizes();
     private final CrashSuspects suspects;
-    private final Repeats repeats;
+    private final RetryLimiter retryLimiter;
     private final Admission admission;
     private final Arrivals arrivals;
     private final FinalAnswers answers;
     private final Map<ExchangeIdentifier, OutgoingRequest> byExchange = new HashMap<>();
     private final Map<AttemptIdentifier, OutgoingRequest> byAttempt = new HashMap<>();
-    private final PriorityQueue<OutgoingRequest> byLimit =
-            new PriorityQueue<>(Comparator.comparingLong(OutgoingRequest::limitNanos));
+    private final PriorityQueue<OutgoingRequest> byDeadline =
+            new PriorityQueue<>(Comparator.comparingLong(OutgoingRequest::deadlineNanos));
 
     OutgoingRequests(FleetParts parts, RandomGenerator random) {
         this.settings = parts.settings();
         this.effects = parts.effects();
-        this.beliefs = parts.beliefs();
+        this.view = parts.view();
         this.peers = parts.peers();
-        this.reach = parts.reach();
+        this.reachableNodes = parts.reachableNodes();
         this.localRuns = parts.localRuns();
         this.suspects = parts.suspects();
         this.random = random;
         choice = new CopyChoice(settings.self(), settings.zone(), settings.without(), random);
-        repeats = new Repeats(parts);
+        retryLimiter = new RetryLimiter(parts);
         admission = new Admission(parts, random);
         answers = new FinalAnswers(parts);
-        arrivals = new Arrivals(beliefs, admission, answers);
+        arrivals = new Arrivals(view, admission, answers);
         localRuns.localSender(this::answered);
     }
 
@@ -93,7 +93,7 @@
     }
 
     /** Returns the nodes with a pending reply. */
-    Set<NodeName> waitedFor() {
+    Set<NodeName> nodesWithPendingReply() {
         Set<NodeName> nodes = new HashSet<>();
         byAttempt.values().forEach(request -> request.copy().ifPresent(copy -> nodes.add(copy.node())));
         nodes.remove(settings.self());
@@ -106,16 +106,16 @@
     }
 
     void retries(RetrySettings bound) {
-        repeats.bound(bound);
+        retryLimiter.settings(bound);
     }
 
-    void nodes(int count) {
-        repeats.nodes(count);
+    void nodeCount(int count) {
+        retryLimiter.nodeCount(count);
     }
 
     /** Sets which requests are accepted from now on; requests accepted before are not affected. */
-    void take(Arrivals.Intake allowed) {
-        arrivals.take(allowed);
+    void setIntake(Arrivals.Intake intake) {
+        arrivals.setIntake(intake);
     }
 
     void arrived(long now, FleetEvent.RequestArrived arrival) {
@@ -125,7 +125,7 @@
     private void begin(long now, OutgoingRequest request) {
         request.origin().parent().ifPresent(parent -> parent.callBegan(now));
         byExchange.put(request.arrival().exchange(), request);
-        byLimit.add(request);
+        byDeadline.add(request);
         Optional<Outcome.NotRun> refusal = suspects.refusal(now, request).or(() -> admission.refusal(now, request));
         if (refusal.isPresent()) {
             finish(now, request, refusal.get());
@@ -136,16 +136,20 @@
 
     private void send(long now, OutgoingRequest request) {
         ServiceName service = request.service();
-        List<Copy> copies = beliefs.copies().usable(service);
+        List<Copy> copies = view.copies().usable(service);
         double bytes = answerSizes.usual(request.route().name());
         Optional<Copy> chosen = choice.choose(
-                        now, copies, request.tried(), bytes, node -> request.mayGoTo(node) && reach.contains(now, node))
+                        now,
+                        copies,
+                        request.tried(),
+                        bytes,
+                        node -> request.maySendTo(node) && reachableNodes.contains(now, node))
                 .or(() -> choice.choose(
                         now,
                         copies,
                         request.tried(),
                         bytes,
-                        node -> request.mayGoTo(node) && reach.containsAsLastResort(now, node)));
+                        node -> request.maySendTo(node) && reachableNodes.containsAsLastResort(now, node)));
         if (chosen.isEmpty()) {
             finish(now, request, notRun(RefusalReason.NO_COPY, UNREACHABLE_RETRY_AFTER, Step.ROUTING));
             return;
@@ -156,8 +160,8 @@
         request.sent(copy, attempt);
         copy.sent();
         byAttempt.put(attempt, request);
-        if (request.sends() == 1) {
-            repeats.first(now, service);
+        if (request.sentAttempts() == 1) {
+            retryLimiter.countFirstSend(now, service);
         }
         logSent(request, copy, load);
         CopyRequest message = message(now, request, copy, attempt);
@@ -165,7 +169,7 @@
             localRuns.accept(now, Optional.empty(), message);
         } else {
             effects.add(new FleetEffect.SendToPeer(copy.node(), message));
-            peers.asked(now, copy.node());
+            peers.expectReply(now, copy.node());
         }
     }
 
@@ -182,7 +186,7 @@
                 request.route().idempotent(),
                 request.origin().depth(),
                 now - request.origin().rootArrivedNanos(),
-                request.limitNanos() - now,
+                request.deadlineNanos() - now,
                 request.arrival().content());
     }
 
@@ -194,9 +198,9 @@
                 request.origin().depth(),
                 copy.record().copy(),
                 copy.node(),
-                request.sends(),
+                request.sentAttempts(),
                 load,
-                beliefs.version()));
+                view.version()));
     }
 
     void peerAnswered(long now, NodeName from, PeerMessage.CopyAnswer answer) {
@@ -219,7 +223,7 @@
         request.times().addAll(times);
         Copy copy = request.copy().orElseThrow();
         request.attemptEnded();
-        judge(now, copy, outcome);
+        recordOutcome(now, copy, outcome);
         switch (outcome) {
             case Outcome.Answered whole -> {
                 answerSizes.answered(
@@ -231,9 +235,9 @@
         }
     }
 
-    private void judge(long now, Copy copy, Outcome outcome) {
+    private void recordOutcome(long now, Copy copy, Outcome outcome) {
         boolean trusted = copy.success(now) >= TRUSTED_SUCCESS;
-        AttemptRules.judge(now, copy, outcome);
+        AttemptRules.recordOutcome(now, copy, outcome);
         if (trusted != copy.success(now) >= TRUSTED_SUCCESS) {
             effects.log(new Decision.CopyJudged(copy.record().copy(), copy.success(now)));
         }
@@ -242,14 +246,14 @@
     private void afterNotRun(long now, OutgoingRequest request, Copy copy, Outcome.NotRun notRun) {
         boolean reachedCopy = notRun.reason() == RefusalReason.COPY_REFUSED;
         if (notRun.reason() == RefusalReason.SUSPECTED) {
-            notRun.peer().ifPresent(request::place);
+            notRun.peer().ifPresent(request::restrictTo);
         }
         if (reachedCopy) {
-            request.handed();
+            request.countPossibleRun();
         }
-        boolean again = AttemptRules.isWorthAnotherCopy(notRun.reason())
-                && AttemptRules.hasTimeAndSends(now, request)
-                && (!reachedCopy || repeats.isAllowed(now, request));
+        boolean again = AttemptRules.mayTryAnotherCopy(notRun.reason())
+                && AttemptRules.hasTimeAndSendsLeft(now, request)
+                && (!reachedCopy || retryLimiter.tryTake(now, request));
         if (again) {
             retry(now, request, copy, notRun, AttemptRules.retryReason(notRun.reason()));
         } else {
@@ -258,12 +262,12 @@
     }
 
     private void afterUnknown(long now, OutgoingRequest request, Copy copy, Outcome.Unknown unknown) {
-        request.handed();
-        request.lost(unknown);
+        request.countPossibleRun();
+        request.answerLost(unknown);
         boolean again = request.route().idempotent()
-                && AttemptRules.isWorthAnotherCopy(unknown.reason())
-                && AttemptRules.hasTimeAndSends(now, request)
-                && repeats.isAllowed(now, request);
+                && AttemptRules.mayTryAnotherCopy(unknown.reason())
+                && AttemptRules.hasTimeAndSendsLeft(now, request)
+                && retryLimiter.tryTake(now, request);
         if (again) {
             retry(now, request, copy, unknown, RetryReason.ANSWER_LOST);
         } else {
@@ -274,7 +278,7 @@
     private void retry(long now, OutgoingRequest request, Copy copy, Outcome outcome, RetryReason reason) {
         effects.count(reason);
         effects.log(new Decision.Retried(
-                request.arrival().requestName(), outcome, copy.record().copy(), request.sends()));
+                request.arrival().requestName(), outcome, copy.record().copy(), request.sentAttempts()));
         send(now, request);
     }
 
@@ -286,8 +290,8 @@
             parent.callEnded(now);
         });
         Outcome answer = request.answer(outcome);
-        admission.ended(now, request, answer);
-        answers.give(now, request, answer);
+        admission.refund(now, request, answer);
+        answers.answer(now, request, answer);
     }
 
     /** Cancels requests whose client has disconnected. */
@@ -299,8 +303,8 @@
         request.finish();
         request.origin().parent().ifPresent(parent -> parent.callEnded(now));
         effects.count(RefusalReason.CANCELLED);
-        effects.log(
-                new Decision.Abandoned(request.arrival().requestName(), request.sends(), now - request.arrivedNanos()));
+        effects.log(new Decision.Abandoned(
+                request.arrival().requestName(), request.sentAttempts(), now - request.arrivedNanos()));
         cancelAttempt(now, request);
     }
 
@@ -337,8 +341,8 @@
 
     void passTime(long now) {
         dropFinished();
-        while (!byLimit.isEmpty() && byLimit.peek().limitNanos() <= now) {
-            OutgoingRequest request = byLimit.poll();
+        while (!byDeadline.isEmpty() && byDeadline.peek().deadlineNanos() <= now) {
+            OutgoingRequest request = byDeadline.poll();
             Step step = request.attempt().isPresent() ? Step.PEER_WAIT : Step.ROUTING;
             cancelAttempt(now, request);
             finish(now, request, new Outcome.Unknown(UnknownReason.DEADLINE, step, Optional.empty()));
@@ -347,14 +351,14 @@
     }
 
     private void dropFinished() {
-        while (!byLimit.isEmpty() && byLimit.peek().isFinished()) {
-            byLimit.poll();
+        while (!byDeadline.isEmpty() && byDeadline.peek().isFinished()) {
+            byDeadline.poll();
         }
     }
 
     long nextNanos() {
         dropFinished();
-        return byLimit.isEmpty() ? Long.MAX_VALUE : byLimit.peek().limitNanos();
+        return byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.peek().deadlineNanos();
     }
 
     private static Outcome.NotRun notRun(RefusalReason reason, Duration retryAfter, Step step) {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Peers.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Peers.java
@@ -35,7 +35,7 @@
      * The minimum interval between probes of all idle connections, which start when one connection turns out to be
      * silent.
      */
-    private static final Duration IDLE_PROBES_APART = Duration.ofSeconds(10);
+    private static final Duration IDLE_PROBE_INTERVAL = Duration.ofSeconds(10);
 
     /**
      * How long a node may be silent before its connection is reset and the requests waiting on it count as lost. Guards
@@ -51,7 +51,7 @@
      * How long after its notice a leaving node still gets work that no other node can take. It ends a second after its
      * notice at the earliest, and everything sent to it must have arrived by then.
      */
-    private static final Duration LAST_RESORT = Duration.ofMillis(400);
+    private static final Duration LAST_RESORT_PERIOD = Duration.ofMillis(400);
 
     private final NodeName self;
     private final Effects effects;
@@ -68,7 +68,7 @@
         for (String host : hosts) {
             NodeName name = new NodeName(host);
             if (!name.equals(self)) {
-                want(name);
+                connect(name);
             }
         }
         known.forEach((name, peer) -> {
@@ -78,7 +78,7 @@
         });
     }
 
-    private void want(NodeName name) {
+    private void connect(NodeName name) {
         Peer peer = peer(name);
         peer.missingNanos = Long.MAX_VALUE;
         if (!peer.wanted) {
@@ -87,7 +87,7 @@
         }
     }
 
-    private void forgetMissing(long now) {
+    private void disconnectMissing(long now) {
         for (Map.Entry<NodeName, Peer> entry : new ArrayList<>(known.entrySet())) {
             Peer peer = entry.getValue();
             if (peer.wanted && now - FORGET_AFTER.toNanos() > peer.missingNanos) {
@@ -107,7 +107,7 @@
     void connected(long now, NodeName name) {
         Peer peer = peer(name);
         peer.connected = true;
-        peer.heard(now);
+        peer.received(now);
         peer.suspected = false;
         peer.leaving = false;
         effects.log(new Decision.DependencyChanged(
@@ -122,9 +122,9 @@
                 "node " + name, "lost", "peers=" + connected().size()));
     }
 
-    void heard(long now, NodeName name) {
+    void received(long now, NodeName name) {
         Peer peer = peer(name);
-        peer.heard(now);
+        peer.received(now);
         if (peer.suspected) {
             peer.suspected = false;
             effects.log(new Decision.DependencyChanged(
@@ -142,31 +142,31 @@
     }
 
     /** Notes that a message was sent that the other node answers. */
-    void asked(long now, NodeName name) {
-        peer(name).awaits(now);
+    void expectReply(long now, NodeName name) {
+        peer(name).expectReply(now);
     }
 
     /** Notes that this process was paused, so that the silence of other nodes says nothing about them. */
     void paused(long now) {
-        known.values().stream().filter(Peer::isAwaited).forEach(peer -> peer.awaitedNanos = now);
+        known.values().stream().filter(Peer::isReplyExpected).forEach(peer -> peer.replyExpectedNanos = now);
     }
 
     /**
      * Suspects and resets silent connections, and disconnects nodes that have been unpublished for long.
      *
-     * @param waitedFor the nodes with a pending reply
+     * @param nodesWithPendingReply the nodes with a pending reply
      */
-    void passTime(long now, Set<NodeName> waitedFor) {
-        forgetMissing(now);
-        waitedFor.forEach(name -> peer(name).stillAwaits(now));
-        known.forEach((name, peer) -> watch(now, name, peer));
+    void passTime(long now, Set<NodeName> nodesWithPendingReply) {
+        disconnectMissing(now);
+        nodesWithPendingReply.forEach(name -> peer(name).resumeWait(now));
+        known.forEach((name, peer) -> checkSilence(now, name, peer));
     }
 
-    private void watch(long now, NodeName name, Peer peer) {
-        if (!peer.connected || !peer.isAwaited()) {
+    private void checkSilence(long now, NodeName name, Peer peer) {
+        if (!peer.connected || !peer.isReplyExpected()) {
             return;
         }
-        long silent = now - peer.awaitedNanos;
+        long silent = now - peer.replyExpectedNanos;
         if (silent > PROBE_AFTER.toNanos() && !peer.probed) {
             probe(now, name, peer);
         }
@@ -177,13 +177,13 @@
             probeIdle(now);
         }
         if (silent > RESET_AFTER.toNanos()) {
-            peer.awaitedNanos = now;
+            peer.replyExpectedNanos = now;
             effects.add(new FleetEffect.ResetPeer(name));
         }
     }
 
     private void probe(long now, NodeName name, Peer peer) {
-        peer.awaits(now);
+        peer.expectReply(now);
         peer.probed = true;
         effects.add(new FleetEffect.SendToPeer(name, new PeerMessage.ReportWanted()));
     }
@@ -198,30 +198,33 @@
         if (now < nextIdleProbeNanos) {
             return;
         }
-        nextIdleProbeNanos = now + IDLE_PROBES_APART.toNanos();
+        nextIdleProbeNanos = now + IDLE_PROBE_INTERVAL.toNanos();
         known.forEach((name, peer) -> {
-            if (peer.connected && !peer.isAwaited() && !peer.isHeardLately(now)) {
+            if (peer.connected && !peer.isReplyExpected() && !peer.isRecentlyHeard(now)) {
                 probe(now, name, peer);
             }
         });
     }
 
     /** Returns whether the connection to a node is responsive and the node accepts new work. */
-    boolean inTouch(NodeName name) {
+    boolean isReachable(NodeName name) {
         Peer peer = known.get(name);
-        return peer != null && peer.isHeard() && !peer.leaving;
+        return peer != null && peer.isResponsive() && !peer.leaving;
     }
 
     /** Returns whether a node sent something so recently that no summary is needed to confirm that it lives. */
-    boolean isHeardLately(long now, NodeName name) {
+    boolean isRecentlyHeard(long now, NodeName name) {
         Peer peer = known.get(name);
-        return peer != null && peer.isHeardLately(now);
+        return peer != null && peer.isRecentlyHeard(now);
     }
 
     /** Returns whether a reachable node has announced its planned stop so recently that it still accepts work. */
     boolean isJustLeaving(long now, NodeName name) {
         Peer peer = known.get(name);
-        return peer != null && peer.isHeard() && peer.leaving && now - peer.leavingNanos < LAST_RESORT.toNanos();
+        return peer != null
+                && peer.isResponsive()
+                && peer.leaving
+                && now - peer.leavingNanos < LAST_RESORT_PERIOD.toNanos();
     }
 
     List<NodeName> connected() {
@@ -236,7 +239,7 @@
 
     /** Returns whether a node is reachable and last reported that it can read the platform. */
     boolean readsPlatform(NodeName name) {
-        return inTouch(name) && known.get(name).readsPlatform;
+        return isReachable(name) && known.get(name).readsPlatform;
     }
 
     /** Returns the number of nodes, including this one. */
@@ -252,7 +255,7 @@
 
     private static final class Peer {
 
-        private static final long NOTHING = Long.MAX_VALUE;
+        private static final long NOT_EXPECTED = Long.MAX_VALUE;
 
         private boolean wanted;
         private boolean connected;
@@ -261,41 +264,41 @@
         private boolean readsPlatform;
         private boolean probed;
         private long leavingNanos;
-        private long heardNanos;
-        private long awaitedNanos = NOTHING;
+        private long receivedNanos;
+        private long replyExpectedNanos = NOT_EXPECTED;
         private long missingNanos = Long.MAX_VALUE;
 
-        private boolean isHeard() {
+        private boolean isResponsive() {
             return connected && !suspected;
         }
 
-        private boolean isHeardLately(long now) {
-            return now - heardNanos < SUSPECT_AFTER.toNanos();
+        private boolean isRecentlyHeard(long now) {
+            return now - receivedNanos < SUSPECT_AFTER.toNanos();
         }
 
-        private boolean isAwaited() {
-            return awaitedNanos != NOTHING;
+        private boolean isReplyExpected() {
+            return replyExpectedNanos != NOT_EXPECTED;
         }
 
-        private void heard(long now) {
-            heardNanos = now;
-            awaitedNanos = NOTHING;
+        private void received(long now) {
+            receivedNanos = now;
+            replyExpectedNanos = NOT_EXPECTED;
             probed = false;
         }
 
         /** Starts the wait for an answer; with several unanswered messages, it starts at the first of them. */
-        private void awaits(long now) {
-            if (!isAwaited()) {
-                awaitedNanos = now;
+        private void expectReply(long now) {
+            if (!isReplyExpected()) {
+                replyExpectedNanos = now;
             }
         }
 
         /**
          * Resumes the wait for a pending answer if another message ended the wait and the node has been silent since.
          */
-        private void stillAwaits(long now) {
-            if (now - heardNanos > REPORT_INTERVAL.toNanos()) {
-                awaits(heardNanos);
+        private void resumeWait(long now) {
+            if (now - receivedNanos > REPORT_INTERVAL.toNanos()) {
+                expectReply(receivedNanos);
             }
         }
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Placement.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Placement.java
@@ -7,7 +7,7 @@
 sealed interface Placement {
 
     /** The request is not suspected. */
-    record Free() implements Placement {}
+    record Unsuspected() implements Placement {}
 
     /**
      * The request is suspected, and may run only at the local copy.
@@ -15,7 +15,7 @@
      * @param fingerprint the fingerprint that all its attempts share
      * @param alone whether no other suspected request may run at the copy at the same time
      */
-    record Here(Fingerprint fingerprint, boolean alone) implements Placement {}
+    record OnlyHere(Fingerprint fingerprint, boolean alone) implements Placement {}
 
     /**
      * The request may not run here.
--- a/policy/src/main/java/org/carawaysill/policy/fleet/PlannedStop.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PlannedStop.java
@@ -21,14 +21,14 @@
      * refused and retried elsewhere, and accepted requests have the remaining 2.8 s of 6 s to be answered. If the time
      * for a stop is so short that less than half of it would remain, client requests are refused from half of it on.
      */
-    private static final Duration CLIENTS_GONE_AFTER = Duration.ofMillis(2500);
+    private static final Duration REFUSE_CLIENTS_AFTER = Duration.ofMillis(2500);
 
     /**
      * How long a stopping node accepts work for its copy as usual; the remaining time is enough for the work sent to it
      * meanwhile. Restarts that follow each other faster than a node is away make all copies of a service unreachable at
      * once: a node is away for 3.5 s if it announces the stop at the order, and for 2.3 s if it announces it here.
      */
-    private static final Duration LEAVING_TOLD_AFTER = Duration.ofMillis(1200);
+    private static final Duration ANNOUNCE_AFTER = Duration.ofMillis(1200);
 
     /**
      * The part of the time for a stop that remains when the process ends in any case. Guards against a process that is
@@ -48,8 +48,8 @@
     private final OutgoingRequests outgoing;
     private final LocalRuns localRuns;
     private long orderedNanos = NOT_ORDERED;
-    private boolean leavingTold;
-    private boolean lateTold;
+    private boolean leavingAnnounced;
+    private boolean lateLogged;
     private boolean ended;
 
     PlannedStop(Effects effects, OutgoingRequests outgoing, LocalRuns localRuns) {
@@ -61,7 +61,7 @@
     void order(long now) {
         if (!isOrdered()) {
             orderedNanos = now;
-            effects.log(new Decision.NodeChanged("stopping", waitsFor()));
+            effects.log(new Decision.NodeChanged("stopping", pendingWork()));
         }
     }
 
@@ -70,14 +70,14 @@
     }
 
     /** Returns true once, when the other nodes must be notified that this node leaves. */
-    boolean isLeavingToBeTold(long now) {
-        boolean due = isOrdered() && !leavingTold && now - orderedNanos >= LEAVING_TOLD_AFTER.toNanos();
-        leavingTold |= due;
+    boolean isAnnouncementDue(long now) {
+        boolean due = isOrdered() && !leavingAnnounced && now - orderedNanos >= ANNOUNCE_AFTER.toNanos();
+        leavingAnnounced |= due;
         return due;
     }
 
-    boolean isLeavingTold() {
-        return leavingTold;
+    boolean isLeavingAnnounced() {
+        return leavingAnnounced;
     }
 
     /**
@@ -95,7 +95,7 @@
         }
         long next = NOT_ORDERED;
         for (Duration step : List.of(
-                LEAVING_TOLD_AFTER, clientsGoneAfter(limit), limit.minus(LATE_BEFORE_END), limit.minus(STOP_MARGIN))) {
+                ANNOUNCE_AFTER, refuseClientsAfter(limit), limit.minus(LATE_BEFORE_END), limit.minus(STOP_MARGIN))) {
             long due = orderedNanos + step.toNanos();
             if (due > now) {
                 next = Math.min(next, due);
@@ -110,31 +110,31 @@
             return;
         }
         long stopping = now - orderedNanos;
-        tellIfLate(stopping, limit);
-        boolean clientsGone = stopping >= clientsGoneAfter(limit).toNanos();
-        if (clientsGone) {
-            outgoing.take(Arrivals.Intake.CALLS);
+        logIfLate(stopping, limit);
+        boolean refusesClients = stopping >= refuseClientsAfter(limit).toNanos();
+        if (refusesClients) {
+            outgoing.setIntake(Arrivals.Intake.CALLS);
         }
         boolean idle = outgoing.isEmpty() && localRuns.isEmpty();
         boolean over = stopping >= limit.minus(STOP_MARGIN).toNanos();
-        if (over || idle && clientsGone) {
+        if (over || idle && refusesClients) {
             ended = true;
-            effects.log(new Decision.NodeChanged("stopped", waitsFor() + tookMillis(stopping)));
-            outgoing.take(Arrivals.Intake.NOTHING);
+            effects.log(new Decision.NodeChanged("stopped", pendingWork() + tookMillis(stopping)));
+            outgoing.setIntake(Arrivals.Intake.NOTHING);
             localRuns.close();
             effects.add(new FleetEffect.StopProcess());
         }
     }
 
-    private static Duration clientsGoneAfter(Duration limit) {
+    private static Duration refuseClientsAfter(Duration limit) {
         Duration half = limit.minus(STOP_MARGIN).dividedBy(2);
-        return half.compareTo(CLIENTS_GONE_AFTER) < 0 ? half : CLIENTS_GONE_AFTER;
+        return half.compareTo(REFUSE_CLIENTS_AFTER) < 0 ? half : REFUSE_CLIENTS_AFTER;
     }
 
-    private void tellIfLate(long stopping, Duration limit) {
-        if (!lateTold && stopping >= limit.minus(LATE_BEFORE_END).toNanos()) {
-            lateTold = true;
-            effects.log(new Decision.NodeChanged("stop_late", waitsFor() + tookMillis(stopping)));
+    private void logIfLate(long stopping, Duration limit) {
+        if (!lateLogged && stopping >= limit.minus(LATE_BEFORE_END).toNanos()) {
+            lateLogged = true;
+            effects.log(new Decision.NodeChanged("stop_late", pendingWork() + tookMillis(stopping)));
         }
     }
 
@@ -142,7 +142,7 @@
      * Returns the numbers of requests that entered here, of unanswered attempts, of requests for the local copy, and of
      * those running at it.
      */
-    private String waitsFor() {
+    private String pendingWork() {
         return "requests=" + outgoing.count() + " sent=" + outgoing.sentCount() + " at_copy=" + localRuns.count()
                 + " running=" + localRuns.runningCount();
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/PublicationExchange.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PublicationExchange.java
@@ -25,80 +25,80 @@
      * An answer takes two hops and two wake-ups, about 10 ms; a node that has not answered within this time may be
      * gone.
      */
-    private static final Duration ASKED_AGAIN_AFTER = Duration.ofMillis(300);
+    private static final Duration REPLY_TIMEOUT = Duration.ofMillis(300);
 
     /**
      * How long a node without entries waits for a node of its own availability zone that has some. All entries and a
      * configuration of a thousand routes are 300 kB, which cost nothing within a zone. In a zone with one node in five,
      * some node of the zone connects to a newly started node within about 25 ms.
      */
-    private static final Duration NEARER_WITHIN = Duration.ofMillis(60);
+    private static final Duration SAME_ZONE_WAIT = Duration.ofMillis(60);
 
     /**
      * How long this node may differ from all others before it reads everything: differences during the distribution of
      * a change last about 0.1 s, and longer with a slow platform.
      */
-    private static final Duration DIFFERENT_FOR = Duration.ofSeconds(3);
+    private static final Duration DIVERGENCE_LIMIT = Duration.ofSeconds(3);
 
     /** The minimum interval between full reads, each of which costs two or more calls of the platform. */
-    private static final Duration READS_APART = Duration.ofSeconds(10);
+    private static final Duration FULL_READ_INTERVAL = Duration.ofSeconds(10);
 
     private final Effects effects;
-    private final Beliefs beliefs;
-    private final Map<NodeName, Long> toldUpTo = new HashMap<>();
+    private final PublishedView view;
+    private final Map<NodeName, Long> receivedPositions = new HashMap<>();
     private final Map<NodeName, Long> differentSinceNanos = new HashMap<>();
-    private Optional<Teller> far = Optional.empty();
-    private long farAskedNanos = Long.MAX_VALUE;
-    private long askedDigest;
-    private long askedNanos;
-    private long sameNanos;
-    private long readNanos;
+    private Optional<Source> deferredSource = Optional.empty();
+    private long deferredUntilNanos = Long.MAX_VALUE;
+    private long requestedDigest;
+    private long requestedNanos;
+    private long lastEqualNanos;
+    private long lastFullReadNanos;
 
-    private record Teller(NodeName node, long digest) {}
+    private record Source(NodeName node, long digest) {}
 
-    PublicationExchange(long now, Effects effects, Beliefs beliefs) {
+    PublicationExchange(long now, Effects effects, PublishedView view) {
         this.effects = effects;
-        this.beliefs = beliefs;
-        sameNanos = now;
-        askedNanos = now - ASKED_AGAIN_AFTER.toNanos();
-        readNanos = now - READS_APART.toNanos();
+        this.view = view;
+        lastEqualNanos = now;
+        requestedNanos = now - REPLY_TIMEOUT.toNanos();
+        lastFullReadNanos = now - FULL_READ_INTERVAL.toNanos();
     }
 
     /**
      * Requests entries at once from a node with a different state, so that nodes that do not read the platform stay up
      * to date.
      */
-    void heard(long now, NodeName peer, boolean sameZone, PublishedState theirs) {
-        PublishedState own = beliefs.published();
+    void stateReceived(long now, NodeName peer, boolean sameZone, PublishedState theirs) {
+        PublishedState own = view.published();
         if (theirs.digest() == own.digest()) {
-            sameNanos = now;
-            beliefs.confirmed(now);
-            told(peer, theirs.position());
+            lastEqualNanos = now;
+            view.confirmed(now);
+            entriesReceived(peer, theirs.position());
             return;
         }
-        healDifference(now);
-        if (theirs.position() <= toldUpTo.getOrDefault(peer, 0L) || isAsked(now, theirs.digest())) {
+        readIfDiverged(now);
+        if (theirs.position() <= receivedPositions.getOrDefault(peer, 0L) || isRequested(now, theirs.digest())) {
             return;
         }
-        Teller teller = new Teller(peer, theirs.digest());
+        Source source = new Source(peer, theirs.digest());
         if (sameZone || own.position() > 0) {
-            ask(now, teller);
-        } else if (far.isEmpty()) {
-            far = Optional.of(teller);
-            farAskedNanos = now + NEARER_WITHIN.toNanos();
+            requestFrom(now, source);
+        } else if (deferredSource.isEmpty()) {
+            deferredSource = Optional.of(source);
+            deferredUntilNanos = now + SAME_ZONE_WAIT.toNanos();
         }
     }
 
-    private boolean isAsked(long now, long digest) {
-        return digest == askedDigest && now - askedNanos < ASKED_AGAIN_AFTER.toNanos();
+    private boolean isRequested(long now, long digest) {
+        return digest == requestedDigest && now - requestedNanos < REPLY_TIMEOUT.toNanos();
     }
 
-    private void ask(long now, Teller teller) {
-        far = Optional.empty();
-        farAskedNanos = Long.MAX_VALUE;
-        askedDigest = teller.digest();
-        askedNanos = now;
-        effects.add(new FleetEffect.SendToPeer(teller.node(), new EntriesWanted(since(now, teller.node()))));
+    private void requestFrom(long now, Source source) {
+        deferredSource = Optional.empty();
+        deferredUntilNanos = Long.MAX_VALUE;
+        requestedDigest = source.digest();
+        requestedNanos = now;
+        effects.add(new FleetEffect.SendToPeer(source.node(), new EntriesWanted(since(now, source.node()))));
     }
 
     /**
@@ -107,28 +107,28 @@
      * such differences are a change being distributed, and everything is 25 to 230 kB.
      */
     private ChangesSince since(long now, NodeName peer) {
-        Long upTo = toldUpTo.get(peer);
+        Long upTo = receivedPositions.get(peer);
         if (upTo != null) {
             return new ChangesSince.AtPosition(upTo);
         }
         long differentSince = differentSinceNanos.computeIfAbsent(peer, _ -> now);
-        boolean knowsNothing = beliefs.published().position() == 0;
-        return knowsNothing || now - differentSince >= ASKED_AGAIN_AFTER.toNanos()
+        boolean knowsNothing = view.published().position() == 0;
+        return knowsNothing || now - differentSince >= REPLY_TIMEOUT.toNanos()
                 ? new ChangesSince.AtPosition(0)
-                : new ChangesSince.AtRevision(beliefs.knownUpTo());
+                : new ChangesSince.AtRevision(view.knownUpTo());
     }
 
     /** Notes up to which of its changes a node has sent everything; 0 if its answer does not say. */
-    void told(NodeName peer, long position) {
+    void entriesReceived(NodeName peer, long position) {
         if (position > 0) {
-            toldUpTo.merge(peer, position, Math::max);
+            receivedPositions.merge(peer, position, Math::max);
             differentSinceNanos.remove(peer);
         }
     }
 
     /** Forgets the position of a node: after a reconnect it may be another process, which counts from the beginning. */
-    void lost(NodeName peer) {
-        toldUpTo.remove(peer);
+    void peerLost(NodeName peer) {
+        receivedPositions.remove(peer);
         differentSinceNanos.remove(peer);
     }
 
@@ -139,27 +139,28 @@
      * had lapsed: it would last until that entry changes again, and the node would never use a copy, or keep using one
      * that is gone.
      */
-    private void healDifference(long now) {
-        if (now - sameNanos > DIFFERENT_FOR.toNanos() && now - readNanos > READS_APART.toNanos()) {
-            readNanos = now;
-            beliefs.readEverything(now);
+    private void readIfDiverged(long now) {
+        if (now - lastEqualNanos > DIVERGENCE_LIMIT.toNanos()
+                && now - lastFullReadNanos > FULL_READ_INTERVAL.toNanos()) {
+            lastFullReadNanos = now;
+            view.readEverything(now);
         }
     }
 
     /** Asks a node of another zone if no node of the own zone reported in time. */
     void passTime(long now) {
-        if (now >= farAskedNanos) {
-            far.ifPresent(teller -> ask(now, teller));
+        if (now >= deferredUntilNanos) {
+            deferredSource.ifPresent(source -> requestFrom(now, source));
         }
     }
 
     long nextNanos() {
-        return farAskedNanos;
+        return deferredUntilNanos;
     }
 
     /** Sends a node the entries that it does not have. */
-    void wanted(NodeName peer, EntriesWanted wanted) {
-        Entries lacking = beliefs.lackingAt(wanted);
-        effects.add(new FleetEffect.SendToPeer(peer, lacking));
+    void entriesRequested(NodeName peer, EntriesWanted request) {
+        Entries missing = view.entriesMissingAt(request);
+        effects.add(new FleetEffect.SendToPeer(peer, missing));
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/PublicationUpdates.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PublicationUpdates.java
@@ -25,7 +25,7 @@
     private static final long NO_POSITION = 0;
 
     private final PublishedEntries entries;
-    private final Map<String, KnownEntry> decidedBy = new HashMap<>();
+    private final Map<String, KnownEntry> inUse = new HashMap<>();
     private final ChangeLog changes = new ChangeLog();
     private Revision revision = Revision.NONE;
 
@@ -34,13 +34,13 @@
     }
 
     /** Notes which form of an entry this node uses, even if that form changes nothing. */
-    void decideBy(KnownEntry entry) {
-        decidedBy.put(entry.key(), entry);
+    void use(KnownEntry entry) {
+        inUse.put(entry.key(), entry);
     }
 
     /** Returns whether a form of an entry is newer than the one that this node uses. */
     boolean isReplacedBy(KnownEntry entry) {
-        KnownEntry current = decidedBy.get(entry.key());
+        KnownEntry current = inUse.get(entry.key());
         return current != null && entry.supersedes(current);
     }
 
@@ -52,7 +52,7 @@
 
     /** Notes that an entry is no longer used. */
     void dropped(String key, Revision at) {
-        decidedBy.remove(key);
+        inUse.remove(key);
         changed(key, at);
     }
 
@@ -79,24 +79,24 @@
      * Returns the entries that another node does not have. An entry that is missing but may come back is sent in its
      * last form: the other node may have read the platform without a gap and have newer information.
      */
-    PeerMessage.Entries lackingAt(EntriesWanted wanted) {
+    PeerMessage.Entries entriesMissingAt(EntriesWanted wanted) {
         return switch (wanted.since()) {
             case ChangesSince.AtRevision(Revision since) -> {
                 boolean complete = !changes.remembers(since);
-                yield told(NO_POSITION, complete, changes.since(complete ? Revision.NONE : since));
+                yield message(NO_POSITION, complete, changes.since(complete ? Revision.NONE : since));
             }
             case ChangesSince.AtPosition(long since) -> {
                 boolean complete = !changes.remembers(since);
-                yield told(changes.position(), complete, changes.since(complete ? 0 : since));
+                yield message(changes.position(), complete, changes.since(complete ? 0 : since));
             }
         };
     }
 
-    private PeerMessage.Entries told(long position, boolean complete, List<String> keys) {
-        List<KnownEntry> lacking = keys.stream()
-                .map(key -> Optional.ofNullable(decidedBy.get(key)).or(() -> entries.find(key)))
+    private PeerMessage.Entries message(long position, boolean complete, List<String> keys) {
+        List<KnownEntry> missing = keys.stream()
+                .map(key -> Optional.ofNullable(inUse.get(key)).or(() -> entries.find(key)))
                 .flatMap(Optional::stream)
                 .toList();
-        return new PeerMessage.Entries(position, revision, complete, lacking);
+        return new PeerMessage.Entries(position, revision, complete, missing);
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Beliefs.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PublishedView.java
@@ -35,9 +35,9 @@
  * even while the platform shows an older state; an entry that can't be read changes nothing. Not thread safe: owned by
  * the policy.
  */
-final class Beliefs {
+final class PublishedView {
 
-    private static final long NOT_KNOWN = 0;
+    private static final long UNKNOWN_DIGEST = 0;
 
     /** The source name of entries that this node read itself. */
     static final String PLATFORM = "platform";
@@ -55,13 +55,13 @@
     private Optional<FleetConfiguration> configuration = Optional.empty();
     private RouteTable routes = new RouteTable(List.of());
     private Map<String, Route> routesByName = Map.of();
-    private long digest = NOT_KNOWN;
+    private long digest = UNKNOWN_DIGEST;
     private long confirmedNanos;
 
     /** Where entries come from, how long entries that are missing there stay in use, and their decoded meanings. */
     private record Source(String name, Revision asOf, long missingUntilNanos, Map<KnownEntry, Publication> meanings) {}
 
-    Beliefs(long now, Duration drainLimit, PublicationDecoder decoder, RandomGenerator random, Effects effects) {
+    PublishedView(long now, Duration drainLimit, PublicationDecoder decoder, RandomGenerator random, Effects effects) {
         this.decoder = decoder;
         this.effects = effects;
         reads = new PlatformReads(now, drainLimit, random);
@@ -99,11 +99,11 @@
     }
 
     /** Notes that another node recently failed to read the platform. */
-    void othersFailToRead(long now) {
+    void otherNodeFailedToRead(long now) {
         reads.othersFail(now);
     }
 
-    void reader(long now, boolean forOthers) {
+    void setReader(long now, boolean forOthers) {
         reads.reader(now, forOthers);
     }
 
@@ -124,8 +124,11 @@
 
     void read(long now, FleetEvent.EntriesRead read) {
         confirmedNanos = now;
-        ReadAnswers.Newer newer = answers.receive(now, read, updates.revision(), version());
-        take(now, newer.entries(), new Source(PLATFORM, Revision.NONE, reads.returnsUntilNanos(now), newer.meanings()));
+        ReadAnswers.NewerEntries newer = answers.receive(now, read, updates.revision(), version());
+        apply(
+                now,
+                newer.entries(),
+                new Source(PLATFORM, Revision.NONE, reads.returnsUntilNanos(now), newer.meanings()));
     }
 
     void readFailed(long now, FleetEvent.ReadFailure failure) {
@@ -143,18 +146,18 @@
      * Merges the entries that another node sent. The sender reports an entry as removed only after it has waited for it
      * to come back, so such an entry is gone.
      */
-    void told(long now, NodeName from, PeerMessage.Entries told) {
+    void received(long now, NodeName from, PeerMessage.Entries message) {
         confirmedNanos = now;
-        answers.heard(told.upTo().era());
-        if (told.upTo().era() > knownUpTo().era()) {
+        answers.eraReceived(message.upTo().era());
+        if (message.upTo().era() > knownUpTo().era()) {
             reads.eraBegan(now);
         }
-        List<KnownEntry> newer = entries.mergeTold(told.upTo(), told.complete(), told.entries());
-        Source source = new Source(from.value(), told.upTo(), now, Map.of());
-        take(now, newer, source);
-        newer.forEach(entry -> expectAgain(now, entry));
-        told.entries().forEach(entry -> endWait(now, entry, source));
-        updates.caughtUp(told.upTo());
+        List<KnownEntry> newer = entries.mergeTold(message.upTo(), message.complete(), message.entries());
+        Source source = new Source(from.value(), message.upTo(), now, Map.of());
+        apply(now, newer, source);
+        newer.forEach(entry -> expectRepublication(now, entry));
+        message.entries().forEach(entry -> removeIfKnownRemoved(now, entry, source));
+        updates.caughtUp(message.upTo());
         if (configuration.isPresent()) {
             reads.told(now);
         }
@@ -167,12 +170,12 @@
      * <p>Guards against a copy that is gone for good but stays in use because a node that does not know the platform's
      * present era reports it: an entry that the platform has lost must be written there again.
      */
-    private void expectAgain(long now, KnownEntry told) {
-        long era = told.revision().era();
-        if (!told.isRemoved()
+    private void expectRepublication(long now, KnownEntry received) {
+        long era = received.revision().era();
+        if (!received.isRemoved()
                 && era != Revision.UNKNOWN_ERA
                 && era < entries.asOf().era()) {
-            copies.remove(now, told.key(), reads.expectedUntilNanos(now));
+            copies.remove(now, received.key(), reads.expectedUntilNanos(now));
         }
     }
 
@@ -182,15 +185,15 @@
      * <p>Guards against sending work to a copy that has left: a node that could not read the platform for a while can't
      * tell a removed entry from one that lapsed while the platform was away, but nodes that read all the time can.
      */
-    private void endWait(long now, KnownEntry told, Source source) {
-        if (told.isRemoved() && copies.isMissing(told.key()) && updates.isReplacedBy(told)) {
-            remove(now, told.key(), told.revision().newest(source.asOf()), source);
+    private void removeIfKnownRemoved(long now, KnownEntry received, Source source) {
+        if (received.isRemoved() && copies.isMissing(received.key()) && updates.isReplacedBy(received)) {
+            remove(now, received.key(), received.revision().newest(source.asOf()), source);
         }
     }
 
     /** Returns the entries that another node does not have. */
-    PeerMessage.Entries lackingAt(PeerMessage.EntriesWanted wanted) {
-        return updates.lackingAt(wanted);
+    PeerMessage.Entries entriesMissingAt(PeerMessage.EntriesWanted wanted) {
+        return updates.entriesMissingAt(wanted);
     }
 
     /** Returns the revision up to which this node knows all changes, from its own reads or from other nodes. */
@@ -199,7 +202,7 @@
     }
 
     /** Applies newer entries; an entry from another node counts as changed at that node's revision. */
-    private void take(long now, List<KnownEntry> newer, Source source) {
+    private void apply(long now, List<KnownEntry> newer, Source source) {
         for (KnownEntry entry : newer) {
             Revision at = entry.revision().newest(source.asOf());
             if (entry.text().isEmpty()) {
@@ -213,12 +216,12 @@
     private void remove(long now, String key, Revision at, Source source) {
         copies.remove(now, key, source.missingUntilNanos()).ifPresent(copy -> {
             lapsed.add(now, copy);
-            gone(key, copy, at, source.name());
+            dropped(key, copy, at, source.name());
         });
     }
 
-    private void gone(String key, Copy copy, Revision at, String learnedFrom) {
-        digest = NOT_KNOWN;
+    private void dropped(String key, Copy copy, Revision at, String learnedFrom) {
+        digest = UNKNOWN_DIGEST;
         updates.dropped(key, at);
         logCopy(copy, GONE, at, learnedFrom);
     }
@@ -229,7 +232,7 @@
         switch (meaning) {
             case Publication.Configured(FleetConfiguration published) -> adopt(entry, published, at, source.name());
             case Publication.Listed(CopyRecord record) -> {
-                updates.decideBy(entry);
+                updates.use(entry);
                 copies.put(now, entry.key(), record, entry.revision()).ifPresent(copy -> {
                     changed(entry.key(), at);
                     String state = copy.isLeaving() ? "draining" : Decision.CopyChanged.READY;
@@ -241,7 +244,7 @@
                 effects.count(ConfigurationCount.REFUSED);
                 effects.log(new Decision.EntryRefused(entry.key(), entry.revision(), fault));
                 // The last readable value is no longer valid: it is unknown which copy listens at that address now.
-                copies.remove(now, entry.key(), now).ifPresent(copy -> gone(entry.key(), copy, at, source.name()));
+                copies.remove(now, entry.key(), now).ifPresent(copy -> dropped(entry.key(), copy, at, source.name()));
             }
         }
     }
@@ -254,7 +257,7 @@
         effects.count(ConfigurationCount.ADOPTED);
         effects.log(new Decision.ConfigurationAdopted(
                 published.version(), version(), published.routes().size(), entry.revision(), learnedFrom));
-        updates.decideBy(entry);
+        updates.use(entry);
         changed(entry.key(), at);
         configuration = Optional.of(published);
         routes = new RouteTable(published.routes());
@@ -272,7 +275,7 @@
     void passTime(long now) {
         copies.dropMissing(now).forEach((key, copy) -> {
             lapsed.add(now, copy);
-            digest = NOT_KNOWN;
+            digest = UNKNOWN_DIGEST;
             updates.dropped(key, entries.asOf());
             logCopy(copy, GONE, entries.asOf(), PLATFORM);
         });
@@ -281,13 +284,13 @@
     }
 
     private void changed(String key, Revision at) {
-        digest = NOT_KNOWN;
+        digest = UNKNOWN_DIGEST;
         updates.changed(key, at);
     }
 
     /** Returns a digest of the state that this node uses, which two nodes can compare. */
     PublishedState published() {
-        if (digest == NOT_KNOWN) {
+        if (digest == UNKNOWN_DIGEST) {
             digest = PublishedState.digest(version(), copies.all().stream().map(Copy::record));
         }
         return new PublishedState(updates.position(), digest);
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Reach.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/ReachableNodes.java
@@ -9,13 +9,13 @@
  * receive its reports know. Messages received from the node directly take precedence over their summaries. Not thread
  * safe: owned by the policy.
  */
-final class Reach {
+final class ReachableNodes {
 
     private final NodeName self;
     private final Peers peers;
     private final FleetState state;
 
-    Reach(NodeName self, Peers peers, FleetState state) {
+    ReachableNodes(NodeName self, Peers peers, FleetState state) {
         this.self = self;
         this.peers = peers;
         this.state = state;
@@ -23,8 +23,8 @@
 
     boolean contains(long now, NodeName node) {
         return node.equals(self)
-                || peers.inTouch(node)
-                        && (peers.isHeardLately(now, node) || state.isListed(node) && !state.isLeaving(node));
+                || peers.isReachable(node)
+                        && (peers.isRecentlyHeard(now, node) || state.isListed(node) && !state.isLeaving(node));
     }
 
     /**
@@ -32,6 +32,6 @@
      * node has recently received anything from it but its connection stands.
      */
     boolean containsAsLastResort(long now, NodeName node) {
-        return node.equals(self) || peers.inTouch(node) || peers.isJustLeaving(now, node);
+        return node.equals(self) || peers.isReachable(node) || peers.isJustLeaving(now, node);
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/ReadAnswers.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/ReadAnswers.java
@@ -36,7 +36,7 @@
      * @param entries the entries, in the platform's order
      * @param meanings the decoded entries of the answer, including those that replace nothing
      */
-    record Newer(List<KnownEntry> entries, Map<KnownEntry, Publication> meanings) {}
+    record NewerEntries(List<KnownEntry> entries, Map<KnownEntry, Publication> meanings) {}
 
     ReadAnswers(Effects effects, PublicationDecoder decoder, PublishedEntries entries, PlatformReads reads) {
         this.effects = effects;
@@ -48,14 +48,14 @@
     /**
      * Receives an answer.
      *
-     * @param told the revision up to which other nodes have sent all changes
+     * @param othersRevision the revision up to which other nodes have sent all changes
      * @param version the configuration in force
      */
-    Newer receive(long now, FleetEvent.EntriesRead read, Revision told, long version) {
-        noticeEra(read, version);
+    NewerEntries receive(long now, FleetEvent.EntriesRead read, Revision othersRevision, long version) {
+        updateEra(read, version);
         Revision asOf = new Revision(eras.current(), read.asOf());
-        if (reads.succeeded(now, isOfAnotherEra(asOf, told))) {
-            effects.log(new Decision.DependencyChanged(Beliefs.PLATFORM, "readable", describe(asOf)));
+        if (reads.succeeded(now, isOfAnotherEra(asOf, othersRevision))) {
+            effects.log(new Decision.DependencyChanged(PublishedView.PLATFORM, "readable", describe(asOf)));
         }
         boolean continues = read.complete() || asOf.isSameEra(entries.asOf());
         Map<KnownEntry, Publication> meanings = decode(read.entries());
@@ -64,11 +64,11 @@
             reads.everythingAt(now);
         }
         reads.everythingEachTime(eras.isLost());
-        return new Newer(newer, meanings);
+        return new NewerEntries(newer, meanings);
     }
 
     /** Receives the era of entries that another node sent. */
-    void heard(long era) {
+    void eraReceived(long era) {
         eras.heard(era);
     }
 
@@ -76,7 +76,7 @@
         return "as_of=" + asOf.number() + " era=" + asOf.era();
     }
 
-    private void noticeEra(FleetEvent.EntriesRead read, long version) {
+    private void updateEra(FleetEvent.EntriesRead read, long version) {
         Eras.Change change = eras.receive(read.era());
         if (read.era().isEmpty()) {
             effects.count(ConfigurationCount.ERA_UNREADABLE);
@@ -91,8 +91,8 @@
     }
 
     /** Returns whether the known entries, from the last answer or else from other nodes, are of another era. */
-    private boolean isOfAnotherEra(Revision asOf, Revision told) {
-        Revision known = entries.asOf().equals(Revision.NONE) ? told : entries.asOf();
+    private boolean isOfAnotherEra(Revision asOf, Revision othersRevision) {
+        Revision known = entries.asOf().equals(Revision.NONE) ? othersRevision : entries.asOf();
         return !known.equals(Revision.NONE) && known.era() != asOf.era();
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Repeats.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/RetryLimiter.java
@@ -12,41 +12,42 @@
  * <p>Invariants: no more copies get a request than its route allows, and no service gets more retries from this node
  * than this node's part of the fleet's retry allowance. Not thread safe: owned by the policy.
  */
-final class Repeats {
+final class RetryLimiter {
 
-    private final Beliefs beliefs;
-    private final Reach reach;
+    private final PublishedView view;
+    private final ReachableNodes reachableNodes;
     private final RetryAllowance allowance;
 
-    Repeats(FleetParts parts) {
-        beliefs = parts.beliefs();
-        reach = parts.reach();
+    RetryLimiter(FleetParts parts) {
+        view = parts.view();
+        reachableNodes = parts.reachableNodes();
         allowance = new RetryAllowance(parts.settings().retries());
     }
 
-    void bound(RetrySettings newer) {
+    void settings(RetrySettings newer) {
         allowance.settings(newer);
     }
 
-    void nodes(int count) {
+    void nodeCount(int count) {
         allowance.nodes(count);
     }
 
     /** Counts a request that is sent for the first time. */
-    void first(long now, ServiceName service) {
+    void countFirstSend(long now, ServiceName service) {
         allowance.first(now, service);
     }
 
     /** Decides whether a request may be retried, and takes the retry from the allowance if so. */
-    boolean isAllowed(long now, OutgoingRequest request) {
-        return request.handedCount() < request.route().maximumAttempts()
+    boolean tryTake(long now, OutgoingRequest request) {
+        return request.possibleRuns() < request.route().maximumAttempts()
                 && hasUntriedCopy(now, request)
                 && allowance.take(now, request.service());
     }
 
     private boolean hasUntriedCopy(long now, OutgoingRequest request) {
-        List<Copy> copies = beliefs.copies().usable(request.service());
+        List<Copy> copies = view.copies().usable(request.service());
         return copies.stream()
-                .anyMatch(copy -> !request.tried().contains(copy.record().copy()) && reach.contains(now, copy.node()));
+                .anyMatch(copy ->
+                        !request.tried().contains(copy.record().copy()) && reachableNodes.contains(now, copy.node()));
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
@@ -19,28 +19,33 @@
 final class ServiceLoads {
 
     private final FleetSettings settings;
-    private final Beliefs beliefs;
-    private final Reach reach;
+    private final PublishedView view;
+    private final ReachableNodes reachableNodes;
     private final FleetState state;
     private final LocalRuns localRuns;
 
-    ServiceLoads(FleetSettings settings, Beliefs beliefs, Reach reach, FleetState state, LocalRuns localRuns) {
+    ServiceLoads(
+            FleetSettings settings,
+            PublishedView view,
+            ReachableNodes reachableNodes,
+            FleetState state,
+            LocalRuns localRuns) {
         this.settings = settings;
-        this.beliefs = beliefs;
-        this.reach = reach;
+        this.view = view;
+        this.reachableNodes = reachableNodes;
         this.state = state;
         this.localRuns = localRuns;
     }
 
     /** Returns the loads by service; a service without a copy that may get work is absent. */
     Map<ServiceName, ServiceLoad> sum(long now) {
-        lookAtOwnCopy(now);
+        updateOwnCopy(now);
         return settings.without().contains(Mechanism.USABLE_SLOTS) ? ofAllNodes(now) : ofUsableCopies(now);
     }
 
     /** Updates the load of this node's own copy, which no other node reports to it. */
-    private void lookAtOwnCopy(long now) {
-        for (Copy copy : beliefs.copies().usable(settings.service())) {
+    private void updateOwnCopy(long now) {
+        for (Copy copy : view.copies().usable(settings.service())) {
             if (copy.node().equals(settings.self())) {
                 copy.told(now, localRuns.load(now));
                 copy.works(localRuns.workSeconds(now));
@@ -50,8 +55,8 @@
 
     private Map<ServiceName, ServiceLoad> ofUsableCopies(long now) {
         Map<ServiceName, ServiceLoad> loads = new HashMap<>();
-        for (Copy copy : beliefs.copies().usable()) {
-            if (reach.contains(now, copy.node())) {
+        for (Copy copy : view.copies().usable()) {
+            if (reachableNodes.contains(now, copy.node())) {
                 loads.merge(copy.record().service(), ServiceLoad.of(copy.load()), ServiceLoad::plus);
             }
         }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/BillSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/BillSite.java
@@ -45,7 +45,7 @@
         add("issuer", 22, new double[] {0.6, 1.0, 1.4}, WORKS, 5, 5, 4, 5, 5);
         add("parties", 21, new double[] {0.7, 0.7, 1.6}, WORKS, 7, 7, 6, 5, 6);
         add(DEEP, 15, new double[] {0.7, 0.7, 1.6}, WORKS, 2, 1, 1, 1, 1);
-        slowsDownWhenNearlyFull(DEEP);
+        slowDownWhenNearlyFull(DEEP);
         fleet.runUntil(START);
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/ChangingRoute.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/ChangingRoute.java
@@ -89,7 +89,7 @@
         fleet.at(at, () -> fleet.platformDown = true);
         fleet.at(at + away, () -> {
             fleet.platformDown = false;
-            fleet.returnFrom(copy[0]);
+            fleet.restoreFrom(copy[0]);
             back.run();
         });
     }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/CrashingRequestsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/CrashingRequestsTest.java
@@ -62,8 +62,8 @@
     private static void expectOthersServed(PostingSite site, String figures) {
         assertTrue(served(site, PostingSite.HISTORY) >= MIN_SERVED_RATIO, figures);
         assertTrue(served(site, PostingSite.POPULAR) >= MIN_SERVED_RATIO, figures);
-        assertEquals(0, site.told(RefusalReason.QUARANTINED.name()), figures);
-        assertEquals(List.of(), site.falselyToldNotRun());
+        assertEquals(0, site.answersWith(RefusalReason.QUARANTINED.name()), figures);
+        assertEquals(List.of(), site.falselyAnsweredNotRun());
     }
 
     @Nested
@@ -95,7 +95,7 @@
         }
 
         @Test
-        void isRefusedWithWhenToComeBack() {
+        void isRefusedWithARetryDelay() {
             PostingSite site = play(5, CrashingRequestsTest::crashOne);
             Outcome.NotRun refusal = (Outcome.NotRun) site.crashingAnswers.getLast();
             assertEquals(RefusalReason.QUARANTINED, refusal.reason());
@@ -143,7 +143,7 @@
         /** Each node loses its suspicions when it restarts; the other nodes send them again. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
-        void startAnewInTurn(long seed) {
+        void restartInTurn(long seed) {
             PostingSite site = play(seed, day -> {
                 crashOne(day);
                 for (int i = 0; i < 2 * day.nodes.size(); i++) {
@@ -158,7 +158,7 @@
         /** All nodes of the service restart at once: the nodes of other services still know of the quarantine. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
-        void besideTheServiceStartAnewAtOnce(long seed) {
+        void ofTheServiceRestartAtOnce(long seed) {
             PostingSite site = play(seed, day -> {
                 crashOne(day);
                 List<VirtualNode> beside = day.services.get(PostingSite.STATEMENTS);
@@ -181,7 +181,7 @@
         /** The node of the first copy that crashes ends before it notifies others: one more crash is needed. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
-        void endWithTheNews(long seed) {
+        void endBeforeTheyNotifyOthers(long seed) {
             PostingSite site = play(seed, day -> {
                 crashOne(day);
                 day.nodes.forEach(node -> node.afterCrash = () -> {
@@ -199,7 +199,7 @@
         /** The connections between the nodes of the service carry nothing for a while. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
-        void hearNothingOfEachOther(long seed) {
+        void areDisconnected(long seed) {
             PostingSite site = play(seed, day -> {
                 crashOne(day);
                 List<VirtualNode> beside = day.services.get(PostingSite.STATEMENTS);
@@ -217,7 +217,7 @@
 
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
-        void areToldApart(long seed) {
+        void areDistinguished(long seed) {
             PostingSite site = play(seed, day -> {
                 crashOne(day);
                 day.crash("two", CRASHES_FROM + 8, SECONDS, GAP);
@@ -231,7 +231,7 @@
         /** Both requests first arrive within 30 ms, so that each crash involves both of them. */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
-        void mayComeAtOneMoment(long seed) {
+        void mayArriveTogether(long seed) {
             PostingSite site = play(seed, day -> {
                 crashOne(day);
                 day.crash("two", CRASHES_FROM + 0.03, SECONDS, GAP);
@@ -263,7 +263,7 @@
          */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
-        void sayNotRunOnlyOfWhatNoCopyBegan(long seed) {
+        void sayNotRunOnlyOfRequestsThatNoCopyBegan(long seed) {
             PostingSite site = play(
                     seed,
                     day -> day.at(
@@ -271,7 +271,7 @@
                             () -> day.services
                                     .get(PostingSite.STATEMENTS)
                                     .forEach(node -> node.crashCopy(PostingSite.ABSENCE))));
-            assertEquals(List.of(), site.falselyToldNotRun());
+            assertEquals(List.of(), site.falselyAnsweredNotRun());
         }
     }
 
@@ -284,7 +284,7 @@
          */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
-        void ofCrashesCondemnNobody(long seed) {
+        void ofCrashesQuarantineNoRequest(long seed) {
             PostingSite site = play(seed, day -> {
                 endInTurn(day, 8, 0);
                 endInTurn(day, 18, 0);
@@ -297,14 +297,14 @@
         /* Guards against quarantining a popular request that ran alone at the second of several crashing copies. */
         @ParameterizedTest
         @ValueSource(ints = {10, 40, 100, 200})
-        void ofCrashesShortlyAfterEachOtherCondemnNobody(int gapMillis) {
-            List<String> condemned = LongStream.rangeClosed(21, 36)
+        void ofCrashesInQuickSuccessionQuarantineNoRequest(int gapMillis) {
+            List<String> quarantined = LongStream.rangeClosed(21, 36)
                     .parallel()
                     .mapToObj(seed -> play(seed, day -> endInTurn(day, 8, gapMillis / 1000.0)))
-                    .filter(site -> site.told(RefusalReason.QUARANTINED.name()) > 0)
+                    .filter(site -> site.answersWith(RefusalReason.QUARANTINED.name()) > 0)
                     .map(site -> figures(site, "none"))
                     .toList();
-            assertEquals(List.of(), condemned);
+            assertEquals(List.of(), quarantined);
         }
 
         /** Crashes three of the four copies of a service one after the other. */
@@ -323,7 +323,7 @@
          */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4})
-        void ofCrashesInSeriesCondemnOneRequestAtMost(long seed) {
+        void ofCrashesInSeriesQuarantineOneRequestAtMost(long seed) {
             PostingSite site = play(seed, day -> {
                 List<VirtualNode> beside = day.services.get(PostingSite.STATEMENTS);
                 for (int i = 0; i < 12; i++) {
@@ -334,7 +334,7 @@
             String figures = figures(site, "none");
             assertTrue(served(site, PostingSite.HISTORY) >= MIN_SERVED_RATIO, figures);
             assertTrue(served(site, PostingSite.POPULAR) >= MIN_SERVED_RATIO, figures);
-            assertTrue(site.told(RefusalReason.QUARANTINED.name()) <= ANSWERS_TO_ONE, figures);
+            assertTrue(site.answersWith(RefusalReason.QUARANTINED.name()) <= ANSWERS_TO_ONE, figures);
         }
 
         /** A copy that leaves as announced ends the requests that it still runs; this is not a crash. */
--- a/policy/src/test/java/org/carawaysill/policy/fleet/FleetPolicyTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/FleetPolicyTest.java
@@ -76,7 +76,7 @@
          */
         @ParameterizedTest
         @ValueSource(longs = {1, 2, 3, 4, 5})
-        void copyGetsNoWorkAfterTheLimitThoughThePlatformTurnsNodesAway(long seed) {
+        void copyGetsNoWorkAfterTheLimitThoughThePlatformRefusesNodes(long seed) {
             VirtualFleet seeded = new VirtualFleet(seed);
             seeded.configure(route("/entry/", "front", true, 1, 900));
             List<VirtualNode> nodes = new ArrayList<>();
@@ -186,9 +186,9 @@
          * at once, since they may have run, and the waiting ones go to the new process.
          */
         @Test
-        void ofACopyEndsWhenItStartsAgainUnderItsName() {
+        void ofACopyEndsWhenItRestartsUnderItsName() {
             VirtualNode node = silentCopy();
-            node.copyStartsAnew();
+            node.restartCopy();
             fleet.runUntil(4 * SECOND + 900 * MILLI);
             assertEquals(3 * SLOTS, fleet.runs.size());
             send(node, "new", "/entry/");
--- a/policy/src/test/java/org/carawaysill/policy/fleet/FleetStateTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/FleetStateTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import org.carawaysill.model.identity.NodeName;
 import org.carawaysill.model.identity.ServiceName;
-import org.carawaysill.policy.fleet.VirtualFleet.Told;
+import org.carawaysill.policy.fleet.VirtualFleet.ReceivedSummary;
 import org.carawaysill.policy.fleet.VirtualFleet.VirtualNode;
 import org.carawaysill.policy.message.PeerMessage;
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
@@ -26,11 +26,11 @@
 class FleetStateTest extends SettledFleet {
 
     /** Returns the nodes that sent a node summaries of the fleet. */
-    private static List<String> tellersOf(VirtualNode node) {
-        return node.told.keySet().stream().map(name -> name.value()).toList();
+    private static List<String> aggregatorsOf(VirtualNode node) {
+        return node.summaries.keySet().stream().map(name -> name.value()).toList();
     }
 
-    private static double offered(Told told) {
+    private static double offered(ReceivedSummary told) {
         return told.summary().routes().stream()
                 .filter(route -> route.route().equals(PATH))
                 .flatMap(route -> route.demands().stream())
@@ -38,9 +38,9 @@
                 .sum();
     }
 
-    private static Told latest(VirtualNode node) {
-        return node.told.values().stream()
-                .max(Comparator.comparingLong(Told::at))
+    private static ReceivedSummary latest(VirtualNode node) {
+        return node.summaries.values().stream()
+                .max(Comparator.comparingLong(ReceivedSummary::at))
                 .orElseThrow();
     }
 
@@ -99,11 +99,11 @@
             }
             fleet.runUntil(SETTLED + 1200 * MILLI);
             for (int zone = 0; zone < ZONES; zone++) {
-                Told told = latest(member(zone(zone)));
+                ReceivedSummary told = latest(lastRanked(zone(zone)));
                 assertTrue(offered(told) > 0, "zone " + zone);
             }
             fleet.runUntil(SETTLED + 5 * SECOND);
-            Told told = latest(member(zone(0)));
+            ReceivedSummary told = latest(lastRanked(zone(0)));
             assertEquals(perSecond, offered(told), 0.2 * perSecond);
         }
     }
@@ -123,18 +123,18 @@
          * other nodes, including those of its own zone, from the second aggregator.
          */
         @Test
-        void ofOneThatSumsUpLeavesNoZoneBlind() {
+        void ofAnAggregatorLeavesNoZoneUninformed() {
             settled(40);
-            VirtualNode watcher = member(zone(3));
-            String lost = tellersOf(watcher).getFirst();
-            fleet.nodes.get(lost).vanish();
+            VirtualNode watcher = lastRanked(zone(3));
+            String lost = aggregatorsOf(watcher).getFirst();
+            fleet.nodes.get(lost).losePower();
             for (int step = 1; step <= 20; step++) {
                 fleet.runUntil(SETTLED + step * 200 * MILLI);
                 long age = fleet.now - latest(watcher).at();
                 assertTrue(age <= 500 * MILLI, "blind for " + age / MILLI + " ms");
             }
             for (VirtualNode node : nodes) {
-                if (node.told.size() >= 2 && node.alive) {
+                if (node.summaries.size() >= 2 && node.alive) {
                     List<String> listed = listed(node);
                     assertEquals(nodes.size() - 1, listed.size(), node.name.value());
                     assertTrue(!listed.contains(lost));
@@ -147,10 +147,10 @@
          * each of them would lose its first requests to that node before it detects the failure itself.
          */
         @Test
-        void ofANodeIsKnownToThoseWhoDoNotTalkToIt() {
+        void ofANodeIsKnownToNodesWithoutTrafficToIt() {
             settled(40);
-            VirtualNode lost = member(zone(1));
-            lost.vanish();
+            VirtualNode lost = lastRanked(zone(1));
+            lost.losePower();
             lost.unpublish();
             lost.publish(false);
             fleet.runUntil(SETTLED + 2200 * MILLI);
@@ -216,7 +216,7 @@
     }
 
     @Nested
-    class Nonsense {
+    class InvalidSummaries {
 
         private final SplittableRandom random = new SplittableRandom(5);
 
@@ -264,16 +264,16 @@
          * served as before.
          */
         @Test
-        void thatANodeTellsIsForgottenSoon() {
+        void areForgottenSoon() {
             settled(20);
-            VirtualNode liar = nodes.getFirst();
+            VirtualNode sender = nodes.getFirst();
             for (int i = 0; i < 2000; i++) {
                 VirtualNode victim = nodes.get(1 + random.nextInt(nodes.size() - 1));
                 StateSummary summary = anySummary();
                 PeerMessage message = random.nextBoolean()
                         ? new PeerMessage.GroupSummary(summary)
                         : new PeerMessage.FleetSummary(summary);
-                fleet.at(SETTLED + i * MILLI, () -> victim.deliver(new FleetEvent.PeerReceived(liar.name, message)));
+                fleet.at(SETTLED + i * MILLI, () -> victim.deliver(new FleetEvent.PeerReceived(sender.name, message)));
             }
             fleet.runUntil(SETTLED + 5 * SECOND);
             List<Boolean> good = new ArrayList<>();
--- a/policy/src/test/java/org/carawaysill/policy/fleet/IdentificationTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/IdentificationTest.java
@@ -142,7 +142,7 @@
 
         /** Guards against a node that keeps accepting a removed key because the platform refuses its reads. */
         @Test
-        void reachANodeThatThePlatformTurnsAway() {
+        void reachANodeThatThePlatformRefuses() {
             entry.readable = false;
             fleet.runUntil(fleet.now + 2 * SECOND);
             configure(organisation("agents", 1, "k-3"));
@@ -174,12 +174,12 @@
          * Guards against a final refusal by a node that has long received nothing: the key may have been added since.
          */
         @Test
-        void thatCanNotBeHeardOfLeaveARefusalOpen() {
+        void thatCanNotBeReceivedLeaveARefusalTemporary() {
             entry.readable = false;
             back.readable = false;
             fleet.silence(entry, back);
             fleet.runUntil(fleet.now + 500 * MILLI);
-            back.vanish();
+            back.losePower();
             fleet.runUntil(fleet.now + 4 * SECOND);
             assertEquals(RefusalReason.KEY_UNVERIFIED, refusal("a", ENTRY, key("k-9")));
             assertEquals(RefusalReason.KEY_MISSING, refusal("b", ENTRY, Credential.NONE));
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PlannedStopTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PlannedStopTest.java
@@ -67,7 +67,7 @@
          * for. It writes one a second before that; a stop that is complete by then writes none.
          */
         @Test
-        void thatRunsOutIsSaidWithWhatIsWaitedFor() {
+        void thatRunsOutIsLoggedWithThePendingWork() {
             VirtualNode node = orderedWithALongRequest(4 * SECOND);
             fleet.runUntil(4 * SECOND + LIMIT.toNanos() - 1010 * MILLI);
             assertFalse(late(node).isPresent());
@@ -195,7 +195,7 @@
          * must not get it, so that the other node may try another copy.
          */
         @Test
-        void workOfOtherNodesIsNotHandedOver() {
+        void requestsOfOtherNodesAreNotSentToTheCopy() {
             stopTheOnlyCopyOfBack();
             PeerMessage.CopyRequest late = new PeerMessage.CopyRequest(
                     new AttemptIdentifier(0, 1),
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnDaysTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnDaysTest.java
@@ -31,7 +31,7 @@
     void keepChangesInForceAndLeavingCopiesWithoutWork() {
         List<String> breaches = new ArrayList<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            for (String breach : new Day(seed).play()) {
+            for (String breach : new Scenario(seed).play()) {
                 breaches.add("seed " + seed + ": " + breach);
             }
         }
@@ -39,7 +39,7 @@
     }
 
     /** One scenario. Not thread safe. */
-    private static final class Day {
+    private static final class Scenario {
 
         private static final long MILLI = VirtualFleet.MILLI;
         private static final long SECOND = 1000 * MILLI;
@@ -72,7 +72,7 @@
         private final Map<String, Long> leftAt = new HashMap<>();
         private final Map<String, Long> startedAt = new HashMap<>();
         private final Map<String, String> entryOf = new HashMap<>();
-        private final Set<String> lost = new HashSet<>();
+        private final Set<String> reported = new HashSet<>();
         private final List<String> breaches = new ArrayList<>();
         private final List<Absence> absences = new ArrayList<>();
         private long returns;
@@ -83,7 +83,7 @@
 
         private record Absence(long from, long until) {}
 
-        Day(int seed) {
+        Scenario(int seed) {
             fleet = new VirtualFleet(seed);
             route = new ChangingRoute(fleet);
             random = new SplittableRandom(7919L * seed);
@@ -99,11 +99,11 @@
             scheduleReturns();
             scheduleChanges();
             scheduleLeaves();
-            scheduleTurnedAway();
+            scheduleRefusedReads();
             scheduleRestarts();
             fleet.runUntil(START);
             sendRequests();
-            judge();
+            check();
             return breaches;
         }
 
@@ -168,7 +168,7 @@
         }
 
         private void change() {
-            if (!isAcknowledgedForGood(0)) {
+            if (!isAcknowledgedDurably(0)) {
                 fleet.at(fleet.now + 100 * MILLI, this::change);
                 return;
             }
@@ -177,7 +177,7 @@
         }
 
         /** Returns whether the platform is available, and nodes have time to read what is written now. */
-        private boolean isAcknowledgedForGood(long sinceReturn) {
+        private boolean isAcknowledgedDurably(long sinceReturn) {
             return absences.stream()
                     .noneMatch(absence ->
                             fleet.now > absence.from() - READ_WITHIN && fleet.now < absence.until() + sinceReturn);
@@ -187,18 +187,18 @@
             List<VirtualNode> nodes = List.copyOf(fleet.nodes.values());
             for (int i = 0; i < 4; i++) {
                 VirtualNode node = nodes.get(i);
-                boolean saysSo = random.nextBoolean();
-                fleet.at(START + SECOND + random.nextLong(QUIET_FROM - START), () -> leave(node, saysSo));
+                boolean announced = random.nextBoolean();
+                fleet.at(START + SECOND + random.nextLong(QUIET_FROM - START), () -> leave(node, announced));
             }
         }
 
         /** Removes a copy from service, by announcing it or by removing its entry. */
-        private void leave(VirtualNode node, boolean saysSo) {
-            if (!isAcknowledgedForGood(saysSo ? 0 : STABLE_AFTER)) {
-                fleet.at(fleet.now + 200 * MILLI, () -> leave(node, saysSo));
+        private void leave(VirtualNode node, boolean announced) {
+            if (!isAcknowledgedDurably(announced ? 0 : STABLE_AFTER)) {
+                fleet.at(fleet.now + 200 * MILLI, () -> leave(node, announced));
                 return;
             }
-            if (saysSo) {
+            if (announced) {
                 node.publish(true);
             } else {
                 node.unpublish();
@@ -206,17 +206,17 @@
             leftAt.put(node.copy(), fleet.now);
         }
 
-        private void scheduleTurnedAway() {
+        private void scheduleRefusedReads() {
             List<VirtualNode> nodes = List.copyOf(fleet.nodes.values());
             int turn = random.nextInt(ChangingRoute.ZONES + 1);
             long from = START + random.nextLong(6 * SECOND);
             long until = Math.min(QUIET_FROM, from + 3 * SECOND + random.nextLong(10 * SECOND));
-            List<VirtualNode> turnedAway = IntStream.range(0, nodes.size())
+            List<VirtualNode> refused = IntStream.range(0, nodes.size())
                     .filter(i -> i % (ChangingRoute.ZONES + 1) == turn)
                     .mapToObj(nodes::get)
                     .toList();
-            fleet.at(from, () -> turnedAway.forEach(node -> node.readable = false));
-            fleet.at(until, () -> turnedAway.forEach(node -> node.readable = true));
+            fleet.at(from, () -> refused.forEach(node -> node.readable = false));
+            fleet.at(until, () -> refused.forEach(node -> node.readable = true));
         }
 
         private void scheduleRestarts() {
@@ -259,10 +259,10 @@
             fleet.runUntil(END + 2 * SECOND);
         }
 
-        private void judge() {
+        private void check() {
             for (VirtualFleet.Run run : fleet.runs) {
                 if (entryOf.containsKey(run.requestName())) {
-                    judge(run);
+                    check(run);
                 }
             }
             if (servedInQuiet * 100L < sentInQuiet * (long) SERVED_PERCENT) {
@@ -270,14 +270,14 @@
             }
         }
 
-        private void judge(VirtualFleet.Run run) {
+        private void check(VirtualFleet.Run run) {
             String of = route.serviceOf(run);
-            if (!allowed(run.at()).contains(of) && lost.add("version")) {
+            if (!allowed(run.at()).contains(of) && reported.add("version")) {
                 breaches.add("run by an older configuration at " + run.at() / MILLI + " from "
                         + entryOf.get(run.requestName()));
             }
             Long left = leftAt.get(run.copy());
-            if (left != null && run.at() > left + BOUND && lost.add(run.copy())) {
+            if (left != null && run.at() > left + BOUND && reported.add(run.copy())) {
                 breaches.add(run.copy() + " left at " + left / MILLI + " and got work at " + run.at() / MILLI + " from "
                         + entryOf.get(run.requestName()));
             }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnTest.java
@@ -132,7 +132,7 @@
          * know.
          */
         @Test
-        void isToldToNodesThatStartWhileThePlatformShowsAnOlderOne() {
+        void isSentToNodesThatStartWhileThePlatformShowsAnOlderOne() {
             changesJustBeforeTheReturn();
             returnsOlder(AWAY_FROM);
             restartEverySecondNode(AWAY_FROM + AWAY);
@@ -155,7 +155,7 @@
 
         /* Guards against nodes that receive a change only from other nodes and mistake it for one that they know. */
         @Test
-        void reachesNodesThatThePlatformTurnsAway() {
+        void reachesNodesThatThePlatformRefuses() {
             List<VirtualNode> nodes = List.copyOf(fleet.nodes.values());
             IntStream.range(0, nodes.size() / 3).forEach(i -> nodes.get(i * 3).readable = false);
             changesJustBeforeTheReturn();
@@ -184,10 +184,10 @@
 
         private VirtualNode leaving;
 
-        private void leaves(long at, boolean bySaying) {
+        private void leaves(long at, boolean announced) {
             leaving = fleet.nodes.values().iterator().next();
             fleet.at(at, () -> {
-                if (bySaying) {
+                if (announced) {
                     leaving.publish(true);
                 } else {
                     leaving.unpublish();
@@ -198,9 +198,9 @@
         /* Guards against work for a copy that has left because the platform shows it as ready again. */
         @ParameterizedTest
         @ValueSource(booleans = {true, false})
-        void thatLeaveGetNoWorkWhileThePlatformShowsThemReady(boolean bySaying) {
+        void thatLeaveGetNoWorkWhileThePlatformShowsThemReady(boolean announced) {
             long left = AWAY_FROM - SECOND;
-            leaves(left, bySaying);
+            leaves(left, announced);
             returnsOlder(AWAY_FROM);
             runsByAnOlderConfiguration(AWAY_FROM + 6 * SECOND);
             assertEquals(0, requestsTo(leaving.copy(), left + BOUND));
@@ -212,9 +212,9 @@
          */
         @ParameterizedTest
         @ValueSource(booleans = {true, false})
-        void thatLeaveGetNoWorkFromNodesThatStartMeanwhile(boolean bySaying) {
+        void thatLeaveGetNoWorkFromNodesThatStartMeanwhile(boolean announced) {
             long left = AWAY_FROM - SECOND;
-            leaves(left, bySaying);
+            leaves(left, announced);
             returnsOlder(AWAY_FROM);
             restartEverySecondNode(AWAY_FROM + AWAY);
             runsByAnOlderConfiguration(AWAY_FROM + 6 * SECOND);
@@ -224,12 +224,12 @@
         /* Guards against ignoring a leave after the return because nodes have already seen its revision. */
         @ParameterizedTest
         @ValueSource(booleans = {true, false})
-        void thatLeaveAfterTheReturnGetNoWorkInTime(boolean bySaying) {
+        void thatLeaveAfterTheReturnGetNoWorkInTime(boolean announced) {
             long left = AWAY_FROM + AWAY + SECOND;
-            leaves(left, bySaying);
+            leaves(left, announced);
             returnsOlder(AWAY_FROM);
             runsByAnOlderConfiguration(AWAY_FROM + 8 * SECOND);
-            long slack = bySaying ? 0 : SECOND;
+            long slack = announced ? 0 : SECOND;
             assertEquals(0, requestsTo(leaving.copy(), left + BOUND + slack));
         }
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PostingSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PostingSite.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.carawaysill.model.request.Outcome;
-import org.carawaysill.policy.fleet.VirtualFleet.Fatal;
+import org.carawaysill.policy.fleet.VirtualFleet.CrashingRequest;
 import org.carawaysill.policy.fleet.VirtualFleet.Run;
 import org.carawaysill.policy.fleet.VirtualFleet.VirtualNode;
 
@@ -81,7 +81,7 @@
     /** Answers to the clients of ordinary requests, counted by description. */
     final Map<String, Integer> answers = new HashMap<>();
 
-    private final Set<String> toldNotRun = new HashSet<>();
+    private final Set<String> answeredNotRun = new HashSet<>();
 
     /** Answers to the clients of crashing requests. */
     final List<Outcome> crashingAnswers = new ArrayList<>();
@@ -99,7 +99,8 @@
         add(2, "engines", 257, 3);
         add(3, "reconcilers", 193, 4);
         add(4, TELLERS, 30, 3);
-        nodes.forEach(node -> node.fatal = Optional.of(new Fatal(CRASH_PATH, SOONEST_CRASH, LATEST_CRASH, ABSENCE)));
+        nodes.forEach(node -> node.crashingRequest =
+                Optional.of(new CrashingRequest(CRASH_PATH, SOONEST_CRASH, LATEST_CRASH, ABSENCE)));
         fleet.runUntil(START);
     }
 
@@ -120,16 +121,16 @@
     }
 
     @Override
-    void noted(String name, Outcome outcome) {
+    void answered(String name, Outcome outcome) {
         if (outcome instanceof Outcome.NotRun) {
-            toldNotRun.add(name);
+            answeredNotRun.add(name);
         }
-        String said = switch (outcome) {
+        String description = switch (outcome) {
             case Outcome.Answered answered -> "answered " + answered.content().status();
             case Outcome.NotRun refusal -> "not run " + refusal.reason();
             case Outcome.Unknown unknown -> "unknown " + unknown.reason();
         };
-        answers.merge(said, 1, Integer::sum);
+        answers.merge(description, 1, Integer::sum);
     }
 
     /** Sends a crashing request repeatedly, from changing nodes and under new names. */
@@ -184,10 +185,10 @@
     }
 
     /** Returns the requests that were answered with "not run" although a copy had begun to run them. */
-    List<String> falselyToldNotRun() {
+    List<String> falselyAnsweredNotRun() {
         return fleet.runs.stream()
                 .map(Run::requestName)
-                .filter(toldNotRun::contains)
+                .filter(answeredNotRun::contains)
                 .toList();
     }
 
@@ -200,7 +201,7 @@
     }
 
     /** Returns how many answers to ordinary requests had a reason for a refusal or for an unknown outcome. */
-    int told(String reason) {
+    int answersWith(String reason) {
         return answers.entrySet().stream()
                 .filter(entry -> entry.getKey().endsWith(reason))
                 .mapToInt(Map.Entry::getValue)
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PublicationExchangeTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PublicationExchangeTest.java
@@ -21,7 +21,7 @@
          * entries from another node needs no read.
          */
         @Test
-        void areReadByFewAndToldToTheRest() {
+        void areReadByFewNodesAndSentToTheRest() {
             settled(95);
             assertTrue(fleet.reads < 95 / 2 + 3 * 15, () -> fleet.reads + " reads");
         }
@@ -32,16 +32,16 @@
          * node.
          */
         @Test
-        void areNotAskedForWhereNothingIsNew() {
+        void areNotRequestedWhereNothingIsNew() {
             settled(40);
             nodes.forEach(node -> node.publish(false));
             fleet.runUntil(SETTLED + 2 * SECOND);
-            long before = fleet.told(PeerMessage.Entries.class);
-            VirtualNode node = member(zone(0));
+            long before = fleet.sentCount(PeerMessage.Entries.class);
+            VirtualNode node = lastRanked(zone(0));
             node.kill();
             node.restart();
             fleet.runUntil(SETTLED + 6 * SECOND);
-            assertTrue(fleet.told(PeerMessage.Entries.class) - before <= 3);
+            assertTrue(fleet.sentCount(PeerMessage.Entries.class) - before <= 3);
         }
 
         /*
@@ -49,9 +49,9 @@
          * node connected first, mostly one of another zone; with a thousand routes these are 300 kB.
          */
         @Test
-        void areAskedOfTheOwnZone() {
+        void areRequestedInTheOwnZone() {
             settled(40);
-            VirtualNode node = member(zone(0));
+            VirtualNode node = lastRanked(zone(0));
             node.kill();
             fleet.runUntil(SETTLED + SECOND);
             long before = fleet.control.bytesAcrossZones;
@@ -72,7 +72,7 @@
         @Test
         void thatOneNodeMissedAreReadAgain() {
             settled(20);
-            VirtualNode node = member(zone(0));
+            VirtualNode node = lastRanked(zone(0));
             VirtualNode missed = zone(1).getFirst();
             List<PublishedEntry> others = fleet.platform.values().stream()
                     .filter(entry -> !entry.key().endsWith(missed.copy()))
--- a/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSite.java
@@ -43,7 +43,7 @@
         add(2, "deposits", 108, 0.6, 1.0, 1.4, 0.6);
         add(3, "quoting", 108, 0.6, 1.0, 1.4, 0.6);
         add(4, DEEP, 35, 0.5, 1.0, 1.0, 1.5);
-        slowsDownWhenNearlyFull(DEEP);
+        slowDownWhenNearlyFull(DEEP);
         fleet.runUntil(START);
     }
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/RemovalTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/RemovalTest.java
@@ -24,7 +24,7 @@
     private static final int COPIES = 28;
     private static final int ZONES = 3;
     private static final long REQUESTS_APART = 2 * MILLI;
-    private static final long FIRST_TURNED_AWAY = 10 * SECOND;
+    private static final long FIRST_REFUSED = 10 * SECOND;
 
     private final VirtualFleet fleet = new VirtualFleet(31);
     private final List<VirtualNode> nodes = new ArrayList<>();
@@ -39,12 +39,12 @@
             node.works.put(PATH, new Work(5 * MILLI, List.of()));
             nodes.add(node);
         }
-        fleet.runUntil(FIRST_TURNED_AWAY - SECOND);
+        fleet.runUntil(FIRST_REFUSED - SECOND);
     }
 
-    private void turnAway(List<VirtualNode> turnedAway, long from, long until) {
-        fleet.at(from, () -> turnedAway.forEach(node -> node.readable = false));
-        fleet.at(until, () -> turnedAway.forEach(node -> node.readable = true));
+    private void refuseReads(List<VirtualNode> refused, long from, long until) {
+        fleet.at(from, () -> refused.forEach(node -> node.readable = false));
+        fleet.at(until, () -> refused.forEach(node -> node.readable = true));
     }
 
     private List<VirtualNode> zone(int zone) {
@@ -86,9 +86,9 @@
          */
         @ParameterizedTest
         @ValueSource(longs = {0, 500, 1000, 1500, 2000, 2500})
-        void areNotSentToCopiesThatLeaveAfterNodesWereTurnedAway(long afterMillis) {
-            long until = FIRST_TURNED_AWAY + 8 * SECOND;
-            turnAway(nodes.subList(COPIES / 2, COPIES), FIRST_TURNED_AWAY, until);
+        void areNotSentToCopiesThatLeaveAfterNodesWereRefused(long afterMillis) {
+            long until = FIRST_REFUSED + 8 * SECOND;
+            refuseReads(nodes.subList(COPIES / 2, COPIES), FIRST_REFUSED, until);
             depart(until + 3 * SECOND + afterMillis * MILLI, 700 * MILLI, 8);
             assertEquals(List.of(), lateRuns(until + 14 * SECOND));
         }
@@ -99,21 +99,21 @@
         @ParameterizedTest
         @ValueSource(longs = {5200, 5700, 6200, 6700, 7200, 7700, 8200})
         void areNotSentToCopiesThatLeaveWhileReadersThatFailedComeBack(long afterMillis) {
-            fleet.at(FIRST_TURNED_AWAY, () -> fleet.platformDown = true);
-            fleet.at(FIRST_TURNED_AWAY + 2200 * MILLI, () -> fleet.platformDown = false);
-            depart(FIRST_TURNED_AWAY + afterMillis * MILLI, 100 * MILLI, 4);
-            assertEquals(List.of(), lateRuns(FIRST_TURNED_AWAY + 13 * SECOND));
+            fleet.at(FIRST_REFUSED, () -> fleet.platformDown = true);
+            fleet.at(FIRST_REFUSED + 2200 * MILLI, () -> fleet.platformDown = false);
+            depart(FIRST_REFUSED + afterMillis * MILLI, 100 * MILLI, 4);
+            assertEquals(List.of(), lateRuns(FIRST_REFUSED + 13 * SECOND));
         }
 
         /* Guards against a removal that neither the refused node nor the nodes that it informs learn in time. */
         @Test
-        void areNotSentToCopiesThatLeaveWhileOneZoneAfterTheOtherIsTurnedAway() {
+        void areNotSentToCopiesThatLeaveWhileOneZoneAfterTheOtherIsRefused() {
             for (int turn = 0; turn < ZONES; turn++) {
-                long from = FIRST_TURNED_AWAY + turn * 8 * SECOND;
-                turnAway(zone(turn), from, from + 8 * SECOND);
+                long from = FIRST_REFUSED + turn * 8 * SECOND;
+                refuseReads(zone(turn), from, from + 8 * SECOND);
             }
-            depart(FIRST_TURNED_AWAY + SECOND, SECOND, COPIES - 5);
-            assertEquals(List.of(), lateRuns(FIRST_TURNED_AWAY + 28 * SECOND));
+            depart(FIRST_REFUSED + SECOND, SECOND, COPIES - 5);
+            assertEquals(List.of(), lateRuns(FIRST_REFUSED + 28 * SECOND));
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/SettledFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/SettledFleet.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns the node of a zone that ranks last as an aggregator. */
-    static VirtualNode member(List<VirtualNode> zone) {
+    static VirtualNode lastRanked(List<VirtualNode> zone) {
         return zone.stream()
                 .max(Comparator.comparing(node -> node.name, NodeRank.ORDER))
                 .orElseThrow();
--- a/policy/src/test/java/org/carawaysill/policy/fleet/ShiftedSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/ShiftedSite.java
@@ -67,7 +67,7 @@
         add("issuer", 40, new double[] {0.6, 1, 1.4}, WORKS, 9, 9, 6);
         add("parties", 64, speeds, WORKS, 6, 5, 4);
         add(DEEP, 34, speeds, WORKS, 2, 2, 1);
-        slowsDownWhenNearlyFull(DEEP);
+        slowDownWhenNearlyFull(DEEP);
         fleet.runUntil(START);
     }
 
@@ -91,7 +91,7 @@
     }
 
     @Override
-    void noted(Credential credential, Outcome outcome) {
+    void answered(Credential credential, Outcome outcome) {
         Tries of = tries.computeIfAbsent(credential, _ -> new Tries());
         of.sent++;
         of.good += Outcomes.isGood(outcome) ? 1 : 0;
--- a/policy/src/test/java/org/carawaysill/policy/fleet/VirtualFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/VirtualFleet.java
@@ -98,7 +98,7 @@
     private long exchanges;
 
     /** A summary of the whole fleet, and when it was received. */
-    record Told(long at, StateSummary summary) {}
+    record ReceivedSummary(long at, StateSummary summary) {}
 
     /** A run of a request at a copy. */
     record Run(long at, String requestName, String path, String copy, Optional<OrganisationName> organisation) {}
@@ -111,7 +111,7 @@
      * @param latest the bound of the time in nanoseconds from its start to the crash
      * @param absence the time in nanoseconds until another process listens there
      */
-    record Fatal(String prefix, long soonest, long latest, long absence) {}
+    record CrashingRequest(String prefix, long soonest, long latest, long absence) {}
 
     /** A snapshot of the platform's state. */
     record PlatformCopy(long revision, Map<String, PublishedEntry> entries) {}
@@ -146,7 +146,7 @@
     }
 
     /** Restores the platform from a snapshot: later writes are lost, and their revisions are assigned again. */
-    void returnFrom(PlatformCopy copy) {
+    void restoreFrom(PlatformCopy copy) {
         revision = copy.revision();
         era = era.isPresent() ? OptionalLong.of(era.getAsLong() + 1) : era;
         platform.clear();
@@ -198,7 +198,7 @@
     }
 
     /** Returns how many messages of a type nodes sent to one another. */
-    int told(Class<? extends PeerMessage> kind) {
+    int sentCount(Class<? extends PeerMessage> kind) {
         return sent.getOrDefault(kind, 0);
     }
 
@@ -236,7 +236,7 @@
         private final Set<AttemptIdentifier> atCopy = new LinkedHashSet<>();
         private final List<NodeName> connected = new ArrayList<>();
         /** The latest summary from each aggregator of its zone. */
-        final Map<NodeName, Told> told = new HashMap<>();
+        final Map<NodeName, ReceivedSummary> summaries = new HashMap<>();
 
         FleetPolicy policy;
         boolean alive = true;
@@ -245,10 +245,10 @@
         boolean stopped;
         /** The factor by which its work takes longer. */
         double speed = 1;
-        /** The share of busy slots above which its work takes longer by {@link #kneeFactor}. */
-        double knee = 2;
+        /** The share of busy slots above which its work takes longer by {@link #slowdownFactor}. */
+        double slowdownThreshold = 2;
 
-        double kneeFactor = 1;
+        double slowdownFactor = 1;
         /** The share of requests that it refuses although it has free slots. */
         double shed;
         /** The share of requests that it answers with an immediate error. */
@@ -257,7 +257,7 @@
         boolean silent;
 
         /** The requests that crash the copy when it runs them. */
-        Optional<Fatal> fatal = Optional.empty();
+        Optional<CrashingRequest> crashingRequest = Optional.empty();
 
         /** Runs right after its copy has crashed. */
         Runnable afterCrash = () -> {};
@@ -273,7 +273,7 @@
         private boolean published = true;
 
         private boolean draining;
-        private long life;
+        private long incarnation;
         private long wakeAt = Long.MAX_VALUE;
 
         VirtualNode(String service, String host, String zone, int slots) {
@@ -378,7 +378,7 @@
         }
 
         /** Restarts the copy's process under the same name, without the requests that were sent to it. */
-        void copyStartsAnew() {
+        void restartCopy() {
             startedAtMillis = now / MILLI;
             silent = false;
             atCopy.clear();
@@ -392,7 +392,7 @@
         /** Kills the process; the copy keeps running, and its calls are cut off. */
         void kill() {
             alive = false;
-            life++;
+            incarnation++;
             wakeAt = Long.MAX_VALUE;
             receivers.clear();
             atCopy.clear();
@@ -406,9 +406,9 @@
         }
 
         /** Loses power: its connections show no sign of it. */
-        void vanish() {
+        void losePower() {
             alive = false;
-            life++;
+            incarnation++;
             wakeAt = Long.MAX_VALUE;
             receivers.clear();
             atCopy.clear();
@@ -437,25 +437,25 @@
                 return;
             }
             List<FleetEffect> effects = policy.decide(new Moment(now, now / MILLI), event);
-            effects.forEach(this::carryOut);
+            effects.forEach(this::apply);
             long due = policy.nextWakeNanos();
             if (due < wakeAt) {
                 wakeAt = due;
-                long of = life;
+                long of = incarnation;
                 at(due, () -> wake(of, due));
             }
         }
 
         private void wake(long of, long due) {
-            if (of == life && wakeAt == due) {
+            if (of == incarnation && wakeAt == due) {
                 wakeAt = Long.MAX_VALUE;
                 deliver(new FleetEvent.WakeUp());
             }
         }
 
-        private void carryOut(FleetEffect effect) {
+        private void apply(FleetEffect effect) {
             switch (effect) {
-                case FleetEffect.HandToCopy hand -> hand(hand);
+                case FleetEffect.HandToCopy hand -> runAtCopy(hand);
                 case FleetEffect.CancelAtCopy cancel -> atCopy.remove(cancel.attempt());
                 case FleetEffect.AnswerExchange answer -> {
                     BiConsumer<Long, Outcome> receiver = receivers.remove(answer.exchange());
@@ -521,7 +521,7 @@
 
         private void receive(NodeName from, PeerMessage message) {
             if (message instanceof PeerMessage.FleetSummary(StateSummary summary)) {
-                told.put(from, new Told(now, summary));
+                summaries.put(from, new ReceivedSummary(now, summary));
             }
             deliver(new FleetEvent.PeerReceived(from, message));
         }
@@ -574,7 +574,7 @@
                     new RequestContent("GET", path, List.of(), Body.EMPTY)));
         }
 
-        private void hand(FleetEffect.HandToCopy hand) {
+        private void runAtCopy(FleetEffect.HandToCopy hand) {
             if (!copyRuns) {
                 at(now, () -> deliver(new FleetEvent.CopyAnswered(hand.attempt(), Outcomes.UNREACHABLE)));
                 return;
@@ -594,7 +594,8 @@
 
         private void work(FleetEffect.HandToCopy hand) {
             String path = hand.content().path();
-            fatal.filter(of -> path.startsWith(of.prefix()))
+            crashingRequest
+                    .filter(of -> path.startsWith(of.prefix()))
                     .ifPresentOrElse(
                             of -> at(now + random.nextLong(of.soonest(), of.latest()), () -> {
                                 if (atCopy.contains(hand.attempt())) {
@@ -614,7 +615,7 @@
                 return;
             }
             if (index == work.calls().size()) {
-                double factor = atCopy.size() >= knee * slots ? speed * kneeFactor : speed;
+                double factor = atCopy.size() >= slowdownThreshold * slots ? speed * slowdownFactor : speed;
                 at(now + (long) (work.draw(random) * factor), () -> answer(hand, Outcomes.good(work.answer())));
                 return;
             }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/VirtualSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/VirtualSite.java
@@ -47,7 +47,7 @@
     /** The results of the requests of one kind that began within one window. */
     static final class Tally {
 
-        int owed;
+        int offered;
         int inAim;
         int failed;
     }
@@ -112,10 +112,10 @@
     }
 
     /** Makes the copies of a service slow down when less than a twentieth of their slots is free. */
-    final void slowsDownWhenNearlyFull(String service) {
+    final void slowDownWhenNearlyFull(String service) {
         services.get(service).forEach(node -> {
-            node.knee = 0.95;
-            node.kneeFactor = 1.3;
+            node.slowdownThreshold = 0.95;
+            node.slowdownFactor = 1.3;
         });
     }
 
@@ -144,7 +144,7 @@
     private void begin(Kind kind, int window) {
         Tally tally = tallies.computeIfAbsent(kind.name(), _ -> new LinkedHashMap<>())
                 .computeIfAbsent(window, _ -> new Tally());
-        tally.owed++;
+        tally.offered++;
         boolean abuser = random.nextDouble() < abusers;
         attempt(new Request(kind, tally, pathOf(kind), credentialOf(kind), fleet.now, abuser), abuser ? 1 + abuses : 1);
     }
@@ -173,8 +173,8 @@
         fleet.at(fleet.now + CLIENT_HOP, () -> {
             String name = kind.name() + '-' + ++requests;
             fleet.send(entry, name, request.path(), request.credential(), left, (_, outcome) -> {
-                noted(name, outcome);
-                noted(request.credential(), outcome);
+                answered(name, outcome);
+                answered(request.credential(), outcome);
                 ended(request, repeats, outcome);
             });
         });
@@ -203,10 +203,10 @@
     }
 
     /** Receives each answer to a client of an organisation. */
-    void noted(Credential credential, Outcome outcome) {}
+    void answered(Credential credential, Outcome outcome) {}
 
     /** Receives each answer to a client. */
-    void noted(String name, Outcome outcome) {}
+    void answered(String name, Outcome outcome) {}
 
     /** Runs the simulation until a number of seconds after the start of traffic. */
     void play(double seconds) {
@@ -234,15 +234,15 @@
     }
 
     private double served(List<Kind> counted, int firstWindow, int lastWindow) {
-        double owed = 0;
+        double offered = 0;
         double inAim = 0;
         for (Kind kind : counted) {
             for (int window = firstWindow; window <= lastWindow; window++) {
                 Tally tally = tallies.getOrDefault(kind.name(), Map.of()).getOrDefault(window, new Tally());
-                owed += kind.worth() * tally.owed;
+                offered += kind.worth() * tally.offered;
                 inAim += kind.worth() * tally.inAim;
             }
         }
-        return owed == 0 ? 1 : inAim / owed;
+        return offered == 0 ? 1 : inAim / offered;
     }
 }
