--- a/policy/src/main/java/org/carawaysill/policy/fleet/Arrivals.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Arrivals.java
@@ -11,55 +11,57 @@
 import org.carawaysill.policy.fleet.route.SplitShares;
 
 /**
- * Finds the route of what arrives at this node, and refuses at once what can't be taken: without a route, without the key that
- * its route requires, or while the node stops. What is refused here has not run.
+ * Finds the route of each request that arrives at this node. Refuses at once requests without a route, requests without
+ * the key that the route requires, and requests that arrive while the node stops. A request that is refused here has
+ * not run.
  *
  * <p>Not thread safe: owned by the policy.
  */
 final class Arrivals {
 
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final Admission admission;
     private final FinalAnswers answers;
     private final Identification identification;
     private final SplitShares splits = new SplitShares();
     private Intake intake = Intake.ALL;
 
-    /** Which requests a node takes. */
+    /** Which requests a node accepts. */
     enum Intake {
-        /** Those of clients, and calls of the local copy. */
+        /** Requests of clients, and calls of the local copy. */
         ALL,
-        /** Calls of the local copy only: without them what it works on could not be finished. */
+        /** Calls of the local copy only: without them, the requests that the copy runs could not be finished. */
         CALLS,
         /**
-         * None. Guards against a request that comes while the process closes its connections, which shows as a client without
-         * an answer and a copy that works for nobody: it would be handed over, and the process ends under it within 0.1 s.
+         * None. Guards against a request that arrives while the process closes its connections: it would be sent to the
+         * copy, and the process would end within 0.1 s, so that the client gets no answer and the copy works for
+         * nobody.
          */
         NOTHING
     }
 
-    Arrivals(Beliefs beliefs, Admission admission, FinalAnswers answers) {
-        this.beliefs = beliefs;
+    Arrivals(PublishedView view, Admission admission, FinalAnswers answers) {
+        this.view = view;
         this.admission = admission;
-        identification = new Identification(beliefs);
+        identification = new Identification(view);
         this.answers = answers;
     }
 
-    /** Sets which requests are taken from now on. */
-    void take(Intake allowed) {
-        intake = allowed;
+    /** Sets which requests are accepted from now on. */
+    void setIntake(Intake newIntake) {
+        intake = newIntake;
     }
 
-    /** Makes a request of what arrived; empty where it was refused. */
+    /** Creates an outgoing request for an arrival; returns empty if the arrival is refused. */
     Optional<OutgoingRequest> accept(long now, FleetEvent.RequestArrived arrival) {
         if (intake == Intake.NOTHING) {
             return refused(arrival, RefusalReason.DRAINING, Step.DRAIN);
         }
-        if (beliefs.configuration().isEmpty()) {
+        if (view.configuration().isEmpty()) {
             return refused(arrival, RefusalReason.NO_CONFIGURATION, Step.CONFIGURATION);
         }
         Optional<Route> found =
-                beliefs.routes().find(arrival.host(), arrival.content().path());
+                view.routes().find(arrival.host(), arrival.content().path());
         if (found.isEmpty()) {
             return refused(arrival, RefusalReason.UNKNOWN_OPERATION, Step.ROUTING);
         }
@@ -81,11 +83,11 @@
                 .filter(patience -> patience.compareTo(route.timeout()) < 0)
                 .orElse(route.timeout());
         return Optional.of(new OutgoingRequest(
-                identification.toPass(arrival), route, splits.next(route), origin, now, now + wait.toNanos()));
+                identification.toForward(arrival), route, splits.next(route), origin, now, now + wait.toNanos()));
     }
 
     private Optional<OutgoingRequest> refused(FleetEvent.RequestArrived arrival, RefusalReason reason, Step step) {
-        answers.refuseUntaken(
+        answers.refuseUnaccepted(
                 arrival, new Outcome.NotRun(reason, OutgoingRequests.UNREACHABLE_RETRY_AFTER, step, Optional.empty()));
         return Optional.empty();
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
@@ -30,51 +30,52 @@
 import org.carawaysill.policy.routing.RendezvousRank;
 
 /**
- * Which requests may have crashed copies, where these may still run, and which are refused.
+ * Tracks which requests may have crashed copies, where these may still run, and which are refused.
  *
- * <p>What ran at a copy when it crashed is suspected. The nodes beside the other copies of its service are told at once. Each
- * suspect may run at one copy of the service only, which all of them choose alike, and there beside as few other suspects as
- * time allows. A suspect that a copy answers is cleared; one under which a copy crashes with no other suspect beside it is
- * the cause, and all nodes are told to refuse it. Not thread safe: owned by the policy.
+ * <p>A request is suspected if it was running at a copy that crashed; the nodes of the service's other copies are
+ * notified at once. It may then run at only one copy of the service, which all nodes choose by the same rule, with as
+ * few other suspects as time allows. A copy's answer clears it. If a copy crashes while it runs just one suspected
+ * request, that is the cause, and all nodes refuse it. Not thread safe: owned by the policy.
  */
 final class CrashSuspects {
 
-    /** What is remembered only fades over minutes. */
+    /** The sweep interval: entries expire over minutes. */
     private static final long SWEEP_NANOS = Duration.ofSeconds(10).toNanos();
 
-    /** How soon a suspect may come again that is to run at another copy: its sender goes there at once. */
-    private static final Duration ELSEWHERE_RETRY_AFTER = Duration.ofMillis(50);
+    /** The retry delay for a suspected request that must run at another copy: its sender sends it there at once. */
+    private static final Duration OTHER_COPY_RETRY_AFTER = Duration.ofMillis(50);
 
-    /** Copies that end for a cause of their own end within this time of each other, and within it their nodes have told so. */
-    private static final Duration SETTLING = Duration.ofMillis(250);
+    /** Copies that end for a common cause end, and are reported, within this time of each other. */
+    private static final Duration COMMON_CAUSE_WINDOW = Duration.ofMillis(250);
 
-    /** In this time all nodes know of a copy that has started. */
+    /** The time within which all nodes know of a copy that has started. */
     private static final Duration KNOWN_EVERYWHERE = Duration.ofMillis(1500);
 
     private final FleetSettings settings;
     private final Effects effects;
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final Peers peers;
-    private final Reach reach;
+    private final ReachableNodes reachableNodes;
     private final Fingerprints fingerprints = new Fingerprints();
     private final SuspectTable table = new SuspectTable();
     private long nextSweepNanos = Long.MIN_VALUE;
     private FleetEffect.ShowSuspects shown = new FleetEffect.ShowSuspects(0, 0);
 
     /**
-     * A request that was at a copy when it crashed.
+     * A request that was running at a copy when it crashed, and the reason that its sender gets.
      *
      * @param run the request
-     * @param reason what its sender is told
+     * @param reason the reason
      */
-    record Lost(LocalRun run, UnknownReason reason) {}
+    record LostRun(LocalRun run, UnknownReason reason) {}
 
-    CrashSuspects(FleetSettings settings, Effects effects, Beliefs beliefs, Peers peers, Reach reach) {
+    CrashSuspects(
+            FleetSettings settings, Effects effects, PublishedView view, Peers peers, ReachableNodes reachableNodes) {
         this.settings = settings;
         this.effects = effects;
-        this.beliefs = beliefs;
+        this.view = view;
         this.peers = peers;
-        this.reach = reach;
+        this.reachableNodes = reachableNodes;
     }
 
     /** Returns what is known of a request; costs nothing as long as no copy has crashed. */
@@ -89,25 +90,25 @@
         return standing(now, request.service(), request.organisation(), request.content());
     }
 
-    /** Returns whether a copy crashed while it ran a request, and nothing has cleared it. */
+    /** Returns whether a copy crashed while it ran a request that has not been cleared since. */
     boolean isSuspected(long now, CopyRequest request) {
         return standing(now, request) instanceof Standing.Suspected;
     }
 
     /**
-     * Returns when a suspect may run again, at the soonest.
+     * Returns the earliest time at which a suspected request may run again.
      *
-     * <p>Guards against a popular request that is taken for the cause where several copies end together for another one: it
-     * would run alone at the second when that ends too.
+     * <p>Guards against quarantining a popular request when several copies end together for another cause: it would run
+     * alone at the second copy when that one ends too.
      */
-    long settledNanos() {
-        return table.lastCrashNanos() + SETTLING.toNanos();
+    long earliestSuspectRunNanos() {
+        return table.lastCrashNanos() + COMMON_CAUSE_WINDOW.toNanos();
     }
 
     /** Decides whether a request may run at the local copy. */
     Placement placement(long now, CopyRequest request) {
         return switch (standing(now, request)) {
-            case Standing.Clear _ -> new Placement.Free();
+            case Standing.Clear _ -> new Placement.Unsuspected();
             case Standing.Suspected suspected -> placement(now, request, suspected);
             case Standing.Quarantined found -> {
                 logRefused(request.requestName(), found);
@@ -117,7 +118,7 @@
     }
 
     private Placement placement(long now, CopyRequest request, Standing.Suspected suspected) {
-        Optional<NodeName> place = place(now, request.service(), suspected);
+        Optional<NodeName> place = permittedNode(now, request.service(), suspected);
         effects.log(new Decision.SuspectHandled(
                 request.requestName(),
                 suspected.fingerprint(),
@@ -125,13 +126,13 @@
                 suspected.crashes(),
                 place.map(NodeName::value).orElse("-")));
         if (place.filter(settings.self()::equals).isPresent()) {
-            return new Placement.Here(suspected.fingerprint(), suspected.mustRunAlone());
+            return new Placement.OnlyHere(suspected.fingerprint(), suspected.mustRunAlone());
         }
-        Duration retryAfter = place.isPresent() ? ELSEWHERE_RETRY_AFTER : KNOWN_EVERYWHERE;
+        Duration retryAfter = place.isPresent() ? OTHER_COPY_RETRY_AFTER : KNOWN_EVERYWHERE;
         return new Placement.Refused(new Outcome.NotRun(RefusalReason.SUSPECTED, retryAfter, Step.QUEUE, place));
     }
 
-    /** Refuses a client's request that copies crashed because of; empty where it is none. */
+    /** Refuses a client's request that is quarantined because copies crashed; returns empty for any other request. */
     Optional<Outcome.NotRun> refusal(long now, OutgoingRequest request) {
         FleetEvent.RequestArrived arrival = request.arrival();
         Standing standing = standing(now, request.service(), request.origin().organisationName(), arrival.content());
@@ -152,17 +153,17 @@
     }
 
     /**
-     * Returns the node beside the one copy of a service at which a suspect may run.
+     * Returns the node of the only copy of a service at which a suspected request may run.
      *
-     * <p>If each copy were free to run it, tries that come at several nodes at once would crash several copies before the first
-     * crash is known. Where all copies crash and come back, each node knows of its own one first: one that has crashed several
-     * copies is kept waiting until all nodes know which are back, and is not run at each of them.
+     * <p>If every copy could run it, attempts at several nodes at once would crash several copies before the first
+     * crash is known. When all copies crash and restart, each node learns of its own first: a request that crashed
+     * several copies waits until all nodes know which are back, so that it does not run at each of them.
      */
-    private Optional<NodeName> place(long now, ServiceName service, Standing.Suspected suspected) {
+    private Optional<NodeName> permittedNode(long now, ServiceName service, Standing.Suspected suspected) {
         Set<NodeName> candidates = new HashSet<>();
-        for (Copy copy : beliefs.copies().usable(service)) {
+        for (Copy copy : view.copies().usable(service)) {
             boolean known = !suspected.mustRunAlone() || copy.isKnownFor(now, KNOWN_EVERYWHERE);
-            boolean inReach = reach.contains(now, copy.node());
+            boolean inReach = reachableNodes.contains(now, copy.node());
             if (known && inReach && !table.hasCrashed(fingerprints.start(copy.record()))) {
                 candidates.add(copy.node());
             }
@@ -172,8 +173,8 @@
         return suspected.mustRunAlone() ? first : first.or(() -> Optional.of(settings.self()));
     }
 
-    /** Concludes what can be concluded from a crash of the local copy, and tells others. */
-    List<Lost> crashed(long now, CopyRecord record, List<LocalRun> runs) {
+    /** Records a crash of the local copy, notifies other nodes, and returns the requests that were lost. */
+    List<LostRun> crashed(long now, CopyRecord record, List<LocalRun> runs) {
         effects.count(CrashCount.COPY_CRASHED);
         Map<LocalRun, Fingerprint> byRun = new LinkedHashMap<>();
         runs.forEach(run -> byRun.put(
@@ -187,18 +188,19 @@
         Set<Fingerprint> suspects = new LinkedHashSet<>(all);
         suspects.removeIf(fingerprint -> !isSuspected(now, fingerprint));
         boolean certain = suspects.size() == 1
-                && runs.stream().anyMatch(run -> isIsolated(run, suspects))
+                && runs.stream().anyMatch(run -> wasSentAsSuspect(run, suspects))
                 && table.wouldBeCause(now, record.service(), suspects.iterator().next());
-        Set<Fingerprint> blamed = suspects.isEmpty() ? all : suspects;
-        // Beside a cause the others are suspected too: it may have been there by coincidence.
-        note(now, record, all, certain ? all : blamed);
+        Set<Fingerprint> possibleCauses = suspects.isEmpty() ? all : suspects;
+        // The other requests stay suspected beside a cause, whose presence may have been a coincidence.
+        addToTable(now, record, all, certain ? all : possibleCauses);
         if (certain) {
             quarantine(now, record, suspects.iterator().next());
         }
-        tell(now, record.service(), all);
-        UnknownReason ofBlamed = certain ? UnknownReason.QUARANTINED : UnknownReason.COPY_CRASHED;
+        notifyNodes(now, record.service(), all);
+        UnknownReason possibleCauseReason = certain ? UnknownReason.QUARANTINED : UnknownReason.COPY_CRASHED;
         return runs.stream()
-                .map(run -> new Lost(run, blamed.contains(byRun.get(run)) ? ofBlamed : UnknownReason.COPY_LOST))
+                .map(run -> new LostRun(
+                        run, possibleCauses.contains(byRun.get(run)) ? possibleCauseReason : UnknownReason.COPY_LOST))
                 .toList();
     }
 
@@ -211,16 +213,16 @@
     }
 
     /**
-     * Returns whether a request was handed to the copy as a suspect.
+     * Returns whether a request was already suspected when it was sent to the copy.
      *
-     * <p>One that was there before it was suspected proves nothing: what many callers ask for is at each of several copies
-     * that lose power at one moment.
+     * <p>A request that ran before it was suspected proves nothing: a request that many callers make runs at each of
+     * several copies that lose power at the same moment.
      */
-    private static boolean isIsolated(LocalRun run, Set<Fingerprint> suspects) {
+    private static boolean wasSentAsSuspect(LocalRun run, Set<Fingerprint> suspects) {
         return run.suspected().filter(suspects::contains).isPresent();
     }
 
-    private void note(long now, CopyRecord record, Set<Fingerprint> all, Set<Fingerprint> noted) {
+    private void addToTable(long now, CopyRecord record, Set<Fingerprint> all, Set<Fingerprint> noted) {
         long start = fingerprints.start(record);
         for (Fingerprint fingerprint : all) {
             if (noted.contains(fingerprint)) {
@@ -238,7 +240,7 @@
         logQuarantine(now, fingerprint, "crash of " + record.copy());
     }
 
-    /** Notes that the local copy answered a request; tells whether that cleared it. */
+    /** Notes that the local copy answered a request; returns whether that cleared a suspicion. */
     boolean answered(long now, CopyRequest request) {
         ServiceName service = request.service();
         Standing standing = standing(now, request);
@@ -254,24 +256,24 @@
         table.clear(now, fingerprint);
         effects.count(CrashCount.CLEARED);
         effects.log(new Decision.SuspicionChanged(fingerprint, "cleared", crashes, 0, "answered by the copy"));
-        tell(now, service, Set.of(fingerprint));
+        notifyNodes(now, service, Set.of(fingerprint));
     }
 
     /**
-     * Tells the nodes beside the copies of a service what is known of some requests to it; and all nodes of those that are
-     * refused, so that it is remembered where all nodes beside the service start anew.
+     * Sends the suspicions to the nodes of a service's copies, and quarantines to all nodes, where they outlast a
+     * restart of all nodes of the service.
      */
-    private void tell(long now, ServiceName service, Set<Fingerprint> told) {
-        List<Suspicion> suspicions = told.stream()
+    private void notifyNodes(long now, ServiceName service, Set<Fingerprint> fingerprints) {
+        List<Suspicion> suspicions = fingerprints.stream()
                 .map(fingerprint -> table.suspicion(now, fingerprint))
                 .flatMap(Optional::stream)
                 .toList();
-        List<Suspicion> ofAll = suspicions.stream()
+        List<Suspicion> quarantines = suspicions.stream()
                 .filter(suspicion -> suspicion.quarantinedAt() > 0)
                 .toList();
-        Set<NodeName> beside = nodesBeside(service);
+        Set<NodeName> serviceNodes = nodesOf(service);
         for (NodeName peer : peers.connected()) {
-            send(peer, service, beside.contains(peer) ? suspicions : ofAll);
+            send(peer, service, serviceNodes.contains(peer) ? suspicions : quarantines);
         }
     }
 
@@ -281,9 +283,9 @@
         }
     }
 
-    private Set<NodeName> nodesBeside(ServiceName service) {
+    private Set<NodeName> nodesOf(ServiceName service) {
         Set<NodeName> nodes = new HashSet<>();
-        for (Copy copy : beliefs.copies().all()) {
+        for (Copy copy : view.copies().all()) {
             if (copy.record().service().equals(service)) {
                 nodes.add(copy.node());
             }
@@ -292,34 +294,34 @@
     }
 
     /**
-     * Receives what another node knows; tells whether anything of it was new.
+     * Merges the suspicions of another node; returns whether anything was new.
      *
-     * <p>A node beside the service passes a new quarantine on to the others beside it: the one that found the cause may end
-     * before all have heard of it.
+     * <p>A node of the service forwards a new quarantine to the service's other nodes: the node that found the cause
+     * may end before it has notified all of them.
      */
-    boolean told(long now, NodeName from, PeerMessage.Suspicions told) {
+    boolean received(long now, NodeName from, PeerMessage.Suspicions message) {
         Set<Fingerprint> quarantined = new LinkedHashSet<>();
-        told.suspicions().forEach(suspicion -> quarantined.add(suspicion.fingerprint()));
+        message.suspicions().forEach(suspicion -> quarantined.add(suspicion.fingerprint()));
         quarantined.removeIf(fingerprint -> isQuarantined(now, fingerprint));
-        boolean news = false;
-        for (Suspicion suspicion : told.suspicions()) {
-            news |= table.join(now, told.service(), suspicion);
+        boolean changed = false;
+        for (Suspicion suspicion : message.suspicions()) {
+            changed |= table.join(now, message.service(), suspicion);
         }
         quarantined.removeIf(fingerprint -> !isQuarantined(now, fingerprint));
         quarantined.forEach(fingerprint -> logQuarantine(now, fingerprint, "told by " + from));
-        if (told.service().equals(settings.service())) {
-            tell(now, told.service(), quarantined);
+        if (message.service().equals(settings.service())) {
+            notifyNodes(now, message.service(), quarantined);
         }
-        return news;
+        return changed;
     }
 
-    /** Tells a node that has just connected what it needs to know: it may have started anew, or missed the news. */
-    void connected(long now, NodeName peer) {
+    /** Sends the known suspicions to a node that has just connected: it may have restarted or missed messages. */
+    void peerConnected(long now, NodeName peer) {
         if (table.isEmpty()) {
             return;
         }
         Set<ServiceName> services = new LinkedHashSet<>();
-        beliefs.copies().beside(peer).forEach(copy -> services.add(copy.record().service()));
+        view.copies().beside(peer).forEach(copy -> services.add(copy.record().service()));
         services.forEach(service -> send(peer, service, table.suspicions(now, service)));
     }
 
@@ -330,7 +332,7 @@
         }
     }
 
-    /** Forgets what has not mattered for long, and shows how much is remembered. */
+    /** Forgets expired suspicions, and updates the number of those that remain. */
     void passTime(long now) {
         if (now >= nextSweepNanos) {
             nextSweepNanos = now + SWEEP_NANOS;
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FinalAnswers.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FinalAnswers.java
@@ -6,37 +6,37 @@
 import org.carawaysill.policy.fleet.entry.EntryPlan;
 
 /**
- * What follows from the end of a request that began beside this node: its answer, its log entry, and what it teaches.
+ * Completes requests that entered at this node: answers them, logs them, and updates demand and route costs.
  *
- * <p>Invariant: only requests of callers teach what their route costs; a call of a copy is a part of what its request costs.
- * Not thread safe: owned by the policy.
+ * <p>Invariant: only callers' requests update route costs; the cost of a copy's call is part of the cost of the request
+ * that it belongs to. Not thread safe: owned by the policy.
  */
 final class FinalAnswers {
 
     private final Effects effects;
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final DemandMeter demand;
     private final EntryPlan plan;
 
     FinalAnswers(FleetParts parts) {
         effects = parts.effects();
-        beliefs = parts.beliefs();
+        view = parts.view();
         demand = parts.demand();
         plan = parts.plan();
     }
 
-    /** Answers a request that is refused before it is taken. */
-    void refuseUntaken(FleetEvent.RequestArrived arrival, Outcome.NotRun refusal) {
+    /** Answers a request that is refused before it is accepted. */
+    void refuseUnaccepted(FleetEvent.RequestArrived arrival, Outcome.NotRun refusal) {
         effects.count(refusal.reason());
-        effects.log(new Decision.Answered(arrival.requestName(), "-", refusal, 0, 0, 1, beliefs.version()));
+        effects.log(new Decision.Answered(arrival.requestName(), "-", refusal, 0, 0, 1, view.version()));
         effects.add(new FleetEffect.AnswerExchange(arrival.exchange(), refusal));
     }
 
-    void give(long now, OutgoingRequest request, Outcome outcome) {
+    void answer(long now, OutgoingRequest request, Outcome outcome) {
         String route = request.route().name();
         DemandKey key = request.demandKey();
         if (request.origin().depth() == 0) {
-            learn(key, request, outcome);
+            updateCosts(key, request, outcome);
         }
         switch (outcome) {
             case Outcome.Answered _ -> {}
@@ -47,15 +47,15 @@
                 request.arrival().requestName(),
                 route,
                 outcome,
-                request.sends(),
+                request.sentAttempts(),
                 now - request.arrivedNanos(),
                 plan.share(key),
-                beliefs.version()));
+                view.version()));
         effects.add(new FleetEffect.AnswerExchange(request.arrival().exchange(), outcome));
     }
 
-    private void learn(DemandKey key, OutgoingRequest request, Outcome outcome) {
-        if (AttemptRules.isWhole(outcome)) {
+    private void updateCosts(DemandKey key, OutgoingRequest request, Outcome outcome) {
+        if (AttemptRules.isSuccess(outcome)) {
             demand.completed(key);
             plan.learn(key.route(), request.times().list());
         } else {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
@@ -22,85 +22,88 @@
 import org.carawaysill.policy.message.StateSummary.NodeState;
 
 /**
- * What this node knows of the state of all others, and whom it tells of its own.
+ * The states of all other nodes as reported to this node, and the distribution of its own report.
  *
- * <p>Each node reports to the two that sum up for its availability zone; these tell one another what they were told, and
- * each of them tells its zone of all. Reports of all nodes to all grow with the square of the fleet: 22,300 messages a second
- * at 95 nodes, which made over half of the bytes between zones; so it is 4 for each node and 8 for each pair of zones in an
- * interval. A change is known everywhere three intervals after it at the latest. Not thread safe: owned by the policy.
+ * <p>Each node reports to the two aggregators of its availability zone. Aggregators send one another a summary of the
+ * reports that they received, and each sends its zone a summary of the whole fleet. Sending all reports to all nodes
+ * would grow with the square of the fleet: 22,300 messages a second at 95 nodes, which made over half of the bytes
+ * between zones. With aggregators it is 4 messages for each node and 8 for each pair of zones in an interval. All nodes
+ * know of a change at most three intervals after it. Not thread safe: owned by the policy.
  */
 final class FleetState {
 
     private final FleetSettings settings;
     private final Effects effects;
-    private final Beliefs beliefs;
+    private final PublishedView view;
     private final Peers peers;
     private final FleetAllowances allowances;
     private final Group group = new Group();
-    private final Summaries ofGroups = new Summaries();
-    private final Summaries ofFleet = new Summaries();
+    private final Summaries groupSummaries = new Summaries();
+    private final Summaries fleetSummaries = new Summaries();
     private Aggregators aggregators = new Aggregators(Map.of());
     private Map<NodeName, NodeState> states = Map.of();
     private RouteSums routes = new RouteSums();
 
-    FleetState(FleetSettings settings, Effects effects, Beliefs beliefs, Peers peers, FleetAllowances allowances) {
+    FleetState(FleetSettings settings, Effects effects, PublishedView view, Peers peers, FleetAllowances allowances) {
         this.settings = settings;
         this.effects = effects;
-        this.beliefs = beliefs;
+        this.view = view;
         this.peers = peers;
         this.allowances = allowances;
     }
 
-    /** Receives what another node says of itself. */
+    /** Receives another node's own report. */
     void reported(long now, NodeName from, NodeReport report) {
         if (report.summed()) {
             group.reported(now, from, report);
         }
     }
 
-    /** Receives what another node that sums up was told. */
-    void groupTold(long now, NodeName from, StateSummary summary) {
-        ofGroups.told(now, from, summary);
+    /** Receives another aggregator's summary of the reports that it received. */
+    void groupSummaryReceived(long now, NodeName from, StateSummary summary) {
+        groupSummaries.told(now, from, summary);
     }
 
-    /** Receives what a node that sums up for this one knows of the fleet. */
-    void fleetTold(long now, NodeName from, StateSummary summary) {
-        ofFleet.told(now, from, summary);
-        if (!sumsUp()) {
-            takeOver(now, ofFleet.all());
-            tellUses(now, summary);
+    /** Receives the summary of the fleet from an aggregator of this node's zone. */
+    void fleetSummaryReceived(long now, NodeName from, StateSummary summary) {
+        fleetSummaries.told(now, from, summary);
+        if (!isAggregator()) {
+            update(now, fleetSummaries.all());
+            updateAllowanceUses(now, summary);
         }
     }
 
     void lost(NodeName node) {
         group.lost(node);
-        ofGroups.lost(node);
-        ofFleet.lost(node);
+        groupSummaries.lost(node);
+        fleetSummaries.lost(node);
     }
 
-    private boolean sumsUp() {
+    private boolean isAggregator() {
         return !group.members().isEmpty() || aggregators.of(settings.zone()).contains(settings.self());
     }
 
-    /** Tells others of this node, and of those that report to it; then sums up for this node itself. */
+    /**
+     * Sends this node's report, and as an aggregator also the summaries; then updates this node's view of the fleet.
+     */
     void tick(long now, NodeReport own) {
         group.passTime(now);
-        ofGroups.passTime(now);
-        ofFleet.passTime(now);
+        groupSummaries.passTime(now);
+        fleetSummaries.passTime(now);
         aggregators = new Aggregators(reachableByZone());
-        boolean primary = report(now, own);
-        if (sumsUp()) {
-            sumUp(now, primary ? own : own.toBeKnown(true));
+        boolean primary = reportToAggregators(now, own);
+        if (isAggregator()) {
+            sendSummaries(now, primary ? own : own.toBeKnown(true));
         } else {
-            takeOver(now, ofFleet.all());
-            addOwn(own);
+            update(now, fleetSummaries.all());
+            addOwnDemand(own);
         }
     }
 
     private Map<AvailabilityZone, List<NodeName>> reachableByZone() {
         Map<NodeName, AvailabilityZone> zones = new HashMap<>();
-        for (Copy copy : beliefs.copies().withUnnamed()) {
-            if (peers.inTouch(copy.node())) {
+        for (Copy copy : view.copies().withUnnamed()) {
+            if (peers.isReachable(copy.node())) {
                 zones.put(copy.node(), copy.record().zone());
             }
         }
@@ -111,8 +114,8 @@
         return byZone;
     }
 
-    /** Reports to those that sum up for this zone; tells whether this node adds up its own demand. */
-    private boolean report(long now, NodeReport own) {
+    /** Reports to the aggregators of this zone; returns whether this node itself adds up its own demand. */
+    private boolean reportToAggregators(long now, NodeReport own) {
         List<NodeName> receivers = aggregators.of(settings.zone());
         NodeName primary = receivers.getFirst();
         for (NodeName receiver : receivers) {
@@ -126,48 +129,49 @@
 
     private void send(long now, NodeName receiver, PeerMessage message) {
         effects.add(new FleetEffect.SendToPeer(receiver, message));
-        peers.asked(now, receiver);
+        peers.expectReply(now, receiver);
     }
 
-    private void sumUp(long now, NodeReport own) {
-        StateSummary ofGroup = group.summary(settings.self(), own);
-        Set<NodeName> others = others();
-        others.forEach(other -> send(now, other, new PeerMessage.GroupSummary(ofGroup)));
-        List<StateSummary> all = new ArrayList<>(ofGroups.all());
-        all.add(ofGroup);
+    private void sendSummaries(long now, NodeReport own) {
+        StateSummary groupSummary = group.summary(settings.self(), own);
+        Set<NodeName> others = otherAggregators();
+        others.forEach(other -> send(now, other, new PeerMessage.GroupSummary(groupSummary)));
+        List<StateSummary> all = new ArrayList<>(groupSummaries.all());
+        all.add(groupSummary);
         StateSummary joined = Summaries.join(own.published(), all);
         for (NodeName member : group.members()) {
             if (!others.contains(member)) {
                 effects.add(new FleetEffect.SendToPeer(member, new PeerMessage.FleetSummary(joined)));
             }
         }
-        takeOver(now, List.of(joined));
-        tellUses(now, joined);
+        update(now, List.of(joined));
+        updateAllowanceUses(now, joined);
     }
 
-    private void tellUses(long now, StateSummary summary) {
+    private void updateAllowanceUses(long now, StateSummary summary) {
         allowances.told(now, summary.uses(), summary.nodes().size());
     }
 
     /**
-     * Those that sum up, by what this node knows; and those that take this node for one that does. Guards against two that
-     * know of different ones: each would wait for an answer of the other, and give its connection up.
+     * Returns the other aggregators: those that this node knows, and those that send summaries to this node. Guards
+     * against two aggregators that disagree on who is one: each would wait for an answer of the other, and reset the
+     * connection.
      */
-    private Set<NodeName> others() {
+    private Set<NodeName> otherAggregators() {
         Set<NodeName> others = new LinkedHashSet<>(aggregators.all());
-        others.addAll(ofGroups.senders());
+        others.addAll(groupSummaries.senders());
         others.remove(settings.self());
         return others;
     }
 
-    private void takeOver(long now, List<StateSummary> summaries) {
+    private void update(long now, List<StateSummary> summaries) {
         states = Summaries.states(summaries);
-        // Two that sum up for one zone add up the same demand; the one that knows of more nodes knows more of it.
+        // Both aggregators of a zone add up the same demand; the one that knows more nodes has the fuller sum.
         routes = new RouteSums();
         summaries.stream()
                 .max(Comparator.comparingInt(summary -> summary.nodes().size()))
                 .ifPresent(summary -> routes.add(summary.routes()));
-        for (Copy copy : beliefs.copies().all()) {
+        for (Copy copy : view.copies().all()) {
             NodeState state = states.get(copy.node());
             if (state != null) {
                 copy.toldByOthers(now, state.load());
@@ -176,57 +180,58 @@
         }
     }
 
-    /** A node that hears nobody knows at least what is asked of itself. */
-    private void addOwn(NodeReport own) {
+    /** Adds this node's own demand if it receives no reports of other nodes. */
+    private void addOwnDemand(NodeReport own) {
         if (states.isEmpty()) {
             routes.add(own);
         }
     }
 
     /**
-     * Tells that this node decides by something newer: those that sum up for its zone, and where it sums up itself, all that
-     * hear of others from it. They ask for what is newer, and are not kept waiting for the next report.
+     * Announces a newer published state to the aggregators of this zone, and if this node is an aggregator, to all
+     * nodes that receive summaries from it. They request the newer entries without waiting for the next periodic
+     * report.
      */
-    void tellPublished(long now, NodeReport own) {
-        report(now, own);
-        if (sumsUp()) {
-            Set<NodeName> receivers = others();
+    void announcePublished(long now, NodeReport own) {
+        reportToAggregators(now, own);
+        if (isAggregator()) {
+            Set<NodeName> receivers = otherAggregators();
             receivers.addAll(group.members());
             receivers.removeAll(aggregators.of(settings.zone()));
-            receivers.forEach(receiver -> tell(receiver, own));
+            receivers.forEach(receiver -> sendReport(receiver, own));
         }
     }
 
-    /** Tells another node of this one, without asking it to sum that up. */
-    void tell(NodeName receiver, NodeReport own) {
-        boolean sameZone = beliefs.copies().withUnnamed().stream()
+    /** Sends this node's report to another node, which does not include it in a summary. */
+    void sendReport(NodeName receiver, NodeReport own) {
+        boolean sameZone = view.copies().withUnnamed().stream()
                 .filter(copy -> copy.node().equals(receiver))
                 .anyMatch(copy -> copy.record().zone().equals(settings.zone()));
         effects.add(new FleetEffect.SendToPeer(receiver, own.toBeKnown(sameZone)));
     }
 
-    /** Returns whether others that are in touch with a node were heard to say so lately; without any, nobody knows. */
+    /** Returns whether a node is in the latest summaries; true for every node while there are none. */
     boolean isListed(NodeName node) {
         return states.isEmpty() || states.containsKey(node);
     }
 
-    /** Returns whether a node was heard to leave from those that sum up. */
+    /** Returns whether the summaries report that a node is leaving. */
     boolean isLeaving(NodeName node) {
         NodeState state = states.get(node);
         return state != null && state.leaving();
     }
 
-    /** The state of a node, where it was heard of lately. */
+    /** Returns the state of a node if it is in the latest summaries. */
     Optional<NodeState> state(NodeName node) {
         return Optional.ofNullable(states.get(node));
     }
 
-    /** The states of all nodes that were heard of lately. */
+    /** Returns the states of all nodes in the latest summaries. */
     List<NodeState> states() {
         return List.copyOf(states.values());
     }
 
-    /** What callers ask of all nodes, and what it costs. */
+    /** Returns the demand of callers at all nodes, and its cost. */
     RouteSums routes() {
         return routes;
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/OutgoingRequest.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/OutgoingRequest.java
@@ -18,7 +18,7 @@
 import org.carawaysill.policy.fleet.entry.SlotTimes;
 
 /**
- * A request that began beside this node, from its arrival until its final answer.
+ * A request that entered at this node, from its arrival until its final answer.
  *
  * <p>Not thread safe: owned by the policy.
  */
@@ -29,27 +29,28 @@
     private final ServiceName service;
     private final Origin origin;
     private final long arrivedNanos;
-    private final long limitNanos;
+    private final long deadlineNanos;
     private final Set<CopyName> tried = new HashSet<>();
     private final SlotTimes times = new SlotTimes();
     private Optional<Copy> copy = Optional.empty();
     private Optional<AttemptIdentifier> attempt = Optional.empty();
-    private Optional<Outcome.Unknown> lost = Optional.empty();
-    private Optional<NodeName> place = Optional.empty();
+    private Optional<Outcome.Unknown> lostAnswer = Optional.empty();
+    private Optional<NodeName> permittedNode = Optional.empty();
     private Optional<OrganisationName> charged = Optional.empty();
-    private int sends;
-    private int handed;
+    private int sentAttempts;
+    private int possibleRuns;
     private boolean finished;
 
     /**
-     * For whose sake a request is made.
+     * The caller's request on whose behalf a request is made.
      *
      * @param rootRoute the route of the caller's request
-     * @param organisation the organisation whose key this request carried; empty where it carried none, as calls do
-     * @param rank the place of that in the order of refusal, by organisation and route
-     * @param depth calls between that and this one
+     * @param organisation the organisation whose key this request carried; empty if it carried none, as calls of copies
+     *     do
+     * @param rank the rank of the caller's request in the order of refusal, by organisation and route
+     * @param depth the number of calls between the caller's request and this one
      * @param rootArrivedNanos when the caller's request arrived, on this node's clock
-     * @param parent the running request that makes this call, where it is known
+     * @param parent the running request that makes this call, if known
      */
     record Origin(
             String rootRoute,
@@ -70,13 +71,13 @@
             ServiceName service,
             Origin origin,
             long arrivedNanos,
-            long limitNanos) {
+            long deadlineNanos) {
         this.arrival = arrival;
         this.route = route;
         this.service = service;
         this.origin = origin;
         this.arrivedNanos = arrivedNanos;
-        this.limitNanos = limitNanos;
+        this.deadlineNanos = deadlineNanos;
     }
 
     FleetEvent.RequestArrived arrival() {
@@ -95,7 +96,7 @@
         return origin;
     }
 
-    /** Returns with which other requests it is admitted alike. */
+    /** Returns the key of the requests that share this request's admitted share. */
     DemandKey demandKey() {
         return new DemandKey(route.name(), RefusalOrder.organisationRank(origin.rank()));
     }
@@ -104,12 +105,12 @@
         return arrivedNanos;
     }
 
-    /** When its client must have an answer: at its own deadline or at the route's timeout, whichever comes first. */
-    long limitNanos() {
-        return limitNanos;
+    /** Returns when the client must have an answer: its own deadline or the route's timeout, whichever comes first. */
+    long deadlineNanos() {
+        return deadlineNanos;
     }
 
-    /** Notes that it was counted against an organisation's allowance. */
+    /** Notes that the request was counted against an organisation's allowance. */
     void charge(OrganisationName organisation) {
         charged = Optional.of(organisation);
     }
@@ -122,7 +123,7 @@
         copy = Optional.of(to);
         attempt = Optional.of(identifier);
         tried.add(to.record().copy());
-        sends++;
+        sentAttempts++;
     }
 
     Optional<Copy> copy() {
@@ -133,14 +134,14 @@
         return attempt;
     }
 
-    /** Notes the node beside the one copy at which it may run, as another node said. */
-    void place(NodeName node) {
-        place = Optional.of(node);
+    /** Restricts the request to the copy of a node: another node replied that it may run only there. */
+    void restrictTo(NodeName node) {
+        permittedNode = Optional.of(node);
     }
 
-    /** Returns whether it may be sent to the copy beside a node, as far as others said. */
-    boolean mayGoTo(NodeName node) {
-        return place.isEmpty() || place.get().equals(node);
+    /** Returns whether the request may be sent to the copy of a node. */
+    boolean maySendTo(NodeName node) {
+        return permittedNode.isEmpty() || permittedNode.get().equals(node);
     }
 
     void attemptEnded() {
@@ -152,40 +153,40 @@
         return tried;
     }
 
-    /** Attempts that were sent anywhere. */
-    int sends() {
-        return sends;
+    /** Returns the number of attempts sent. */
+    int sentAttempts() {
+        return sentAttempts;
     }
 
     /** Notes that an attempt may have reached a copy. */
-    void handed() {
-        handed++;
+    void countPossibleRun() {
+        possibleRuns++;
     }
 
-    /** Notes that a copy may have run an attempt, whose answer was lost. */
-    void lost(Outcome.Unknown outcome) {
-        lost = Optional.of(outcome);
+    /** Notes that a copy may have run an attempt whose answer was lost. */
+    void answerLost(Outcome.Unknown outcome) {
+        lostAnswer = Optional.of(outcome);
     }
 
     /**
-     * Returns what the client is told.
+     * Returns the outcome to send to the client.
      *
-     * <p>Guards against a client that is told "not run" of a request that a copy began: an attempt's answer was lost, and the
-     * next attempt was refused. What is known of the whole request is what is known of the attempt that may have run.
+     * <p>Guards against answering "not run" for a request that a copy has begun: one attempt's answer was lost, and the
+     * next attempt was refused. The outcome of the whole request is then that of the attempt that may have run.
      *
-     * @param last what the last attempt came to
+     * @param last the outcome of the last attempt
      */
     Outcome answer(Outcome last) {
         boolean refused = last instanceof Outcome.NotRun;
-        return refused && lost.isPresent() ? lost.get() : last;
+        return refused && lostAnswer.isPresent() ? lostAnswer.get() : last;
     }
 
-    /** Attempts that may have reached a copy. */
-    int handedCount() {
-        return handed;
+    /** Returns the number of attempts that may have reached a copy. */
+    int possibleRuns() {
+        return possibleRuns;
     }
 
-    /** The slots' time that its attempts took, all calls that they caused included. */
+    /** Returns the slot time that the attempts used, including all calls that they caused. */
     SlotTimes times() {
         return times;
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/PublicationUpdates.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PublicationUpdates.java
@@ -13,18 +13,19 @@
 import org.carawaysill.policy.message.PeerMessage.EntriesWanted;
 
 /**
- * What this node tells others of what is published: the entries that it decides by, and those that it knows to be removed.
+ * The published entries that this node sends to others: the entries that it uses, and those that it knows to be
+ * removed.
  *
- * <p>Invariant: an entry that is decided by is told in that form, also while the platform shows an older one or none. Not thread
- * safe: owned by the policy.
+ * <p>Invariant: an entry in use is sent in the form in use, even while the platform shows an older form or none. Not
+ * thread safe: owned by the policy.
  */
 final class PublicationUpdates {
 
-    /** The answer does not say up to which change the receiver knows all. */
+    /** The answer does not state up to which change the receiver knows everything. */
     private static final long NO_POSITION = 0;
 
     private final PublishedEntries entries;
-    private final Map<String, KnownEntry> decidedBy = new HashMap<>();
+    private final Map<String, KnownEntry> inUse = new HashMap<>();
     private final ChangeLog changes = new ChangeLog();
     private Revision revision = Revision.NONE;
 
@@ -32,26 +33,26 @@
         this.entries = entries;
     }
 
-    /** Notes which form of an entry this node decides by; it need not change anything. */
-    void decideBy(KnownEntry entry) {
-        decidedBy.put(entry.key(), entry);
+    /** Notes which form of an entry this node uses, even if that form changes nothing. */
+    void use(KnownEntry entry) {
+        inUse.put(entry.key(), entry);
     }
 
-    /** Returns whether a form of an entry is newer than the one that this node decides by. */
+    /** Returns whether a form of an entry is newer than the one that this node uses. */
     boolean isReplacedBy(KnownEntry entry) {
-        KnownEntry current = decidedBy.get(entry.key());
+        KnownEntry current = inUse.get(entry.key());
         return current != null && entry.supersedes(current);
     }
 
-    /** Notes that this node decides by something else now. */
+    /** Notes that an entry that this node uses has changed. */
     void changed(String key, Revision at) {
         changes.changed(key, at);
         caughtUp(at);
     }
 
-    /** Notes that an entry is no longer decided by. */
+    /** Notes that an entry is no longer used. */
     void dropped(String key, Revision at) {
-        decidedBy.remove(key);
+        inUse.remove(key);
         changed(key, at);
     }
 
@@ -64,38 +65,38 @@
         changes.forget(key);
     }
 
-    /** Returns up to which revision all changes are known that matter. */
+    /** Returns the revision up to which all relevant changes are known. */
     Revision revision() {
         return revision;
     }
 
-    /** Returns how many changes of what this node decides by there were. */
+    /** Returns the number of changes to the entries that this node uses. */
     long position() {
         return changes.position();
     }
 
     /**
-     * Returns what another node lacks. An entry that may be back soon is told as it was last: the other node may read the
-     * platform without a gap and know better.
+     * Returns the entries that another node does not have. An entry that is missing but may come back is sent in its
+     * last form: the other node may have read the platform without a gap and have newer information.
      */
-    PeerMessage.Entries lackingAt(EntriesWanted wanted) {
+    PeerMessage.Entries entriesMissingAt(EntriesWanted wanted) {
         return switch (wanted.since()) {
             case ChangesSince.AtRevision(Revision since) -> {
                 boolean complete = !changes.remembers(since);
-                yield told(NO_POSITION, complete, changes.since(complete ? Revision.NONE : since));
+                yield message(NO_POSITION, complete, changes.since(complete ? Revision.NONE : since));
             }
             case ChangesSince.AtPosition(long since) -> {
                 boolean complete = !changes.remembers(since);
-                yield told(changes.position(), complete, changes.since(complete ? 0 : since));
+                yield message(changes.position(), complete, changes.since(complete ? 0 : since));
             }
         };
     }
 
-    private PeerMessage.Entries told(long position, boolean complete, List<String> keys) {
-        List<KnownEntry> lacking = keys.stream()
-                .map(key -> Optional.ofNullable(decidedBy.get(key)).or(() -> entries.find(key)))
+    private PeerMessage.Entries message(long position, boolean complete, List<String> keys) {
+        List<KnownEntry> missing = keys.stream()
+                .map(key -> Optional.ofNullable(inUse.get(key)).or(() -> entries.find(key)))
                 .flatMap(Optional::stream)
                 .toList();
-        return new PeerMessage.Entries(position, revision, complete, lacking);
+        return new PeerMessage.Entries(position, revision, complete, missing);
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Beliefs.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PublishedView.java
@@ -28,17 +28,18 @@
 import org.carawaysill.policy.time.Nanos;
 
 /**
- * What this node believes of what is published: the configuration in force and the copies, from the platform or from
+ * This node's view of what is published: the configuration in force and the copies, learned from the platform or from
  * other nodes.
  *
- * <p>Invariants: the configuration's version never falls, and a copy that left gets no work again before it writes again, also
- * while the platform shows an older copy; an entry that can't be read changes nothing. Not thread safe: owned by the policy.
+ * <p>Invariants: the configuration's version never falls; a copy that left gets no work before it is published again,
+ * even while the platform shows an older state; an entry that can't be read changes nothing. Not thread safe: owned by
+ * the policy.
  */
-final class Beliefs {
+final class PublishedView {
 
-    private static final long NOT_KNOWN = 0;
+    private static final long UNKNOWN_DIGEST = 0;
 
-    /** Where a belief comes from that this node read itself. */
+    /** The source name of entries that this node read itself. */
     static final String PLATFORM = "platform";
 
     private static final String GONE = "gone";
@@ -54,13 +55,13 @@
     private Optional<FleetConfiguration> configuration = Optional.empty();
     private RouteTable routes = new RouteTable(List.of());
     private Map<String, Route> routesByName = Map.of();
-    private long digest = NOT_KNOWN;
+    private long digest = UNKNOWN_DIGEST;
     private long confirmedNanos;
 
-    /** Where entries come from, how long those stay in use that turn out to be missing there, and what they mean. */
+    /** Where entries come from, how long entries that are missing there stay in use, and their decoded meanings. */
     private record Source(String name, Revision asOf, long missingUntilNanos, Map<KnownEntry, Publication> meanings) {}
 
-    Beliefs(long now, Duration drainLimit, PublicationDecoder decoder, RandomGenerator random, Effects effects) {
+    PublishedView(long now, Duration drainLimit, PublicationDecoder decoder, RandomGenerator random, Effects effects) {
         this.decoder = decoder;
         this.effects = effects;
         reads = new PlatformReads(now, drainLimit, random);
@@ -72,7 +73,7 @@
         return configuration;
     }
 
-    /** Returns whether the platform, or another node that decides by the same, was heard of so lately. */
+    /** Returns whether, within the given time, the platform answered or another node with the same state reported. */
     boolean isConfirmedWithin(long now, Duration time) {
         return now - confirmedNanos <= time.toNanos();
     }
@@ -97,12 +98,12 @@
         return reads.mayRead();
     }
 
-    /** Notes that another node lately failed to read the platform. */
-    void othersFailToRead(long now) {
+    /** Notes that another node recently failed to read the platform. */
+    void otherNodeFailedToRead(long now) {
         reads.othersFail(now);
     }
 
-    void reader(long now, boolean forOthers) {
+    void setReader(long now, boolean forOthers) {
         reads.reader(now, forOthers);
     }
 
@@ -110,7 +111,7 @@
         return reads.dueNanos();
     }
 
-    /** Reads everything soon, whoever else reads. */
+    /** Schedules a full read soon, whichever nodes read at present. */
     void readEverything(long now) {
         effects.log(new Decision.DependencyChanged(PLATFORM, "read_anew", "others decide by something else"));
         reads.everythingAt(now);
@@ -123,8 +124,11 @@
 
     void read(long now, FleetEvent.EntriesRead read) {
         confirmedNanos = now;
-        ReadAnswers.Newer newer = answers.receive(now, read, updates.revision(), version());
-        take(now, newer.entries(), new Source(PLATFORM, Revision.NONE, reads.returnsUntilNanos(now), newer.meanings()));
+        ReadAnswers.NewerEntries newer = answers.receive(now, read, updates.revision(), version());
+        apply(
+                now,
+                newer.entries(),
+                new Source(PLATFORM, Revision.NONE, reads.returnsUntilNanos(now), newer.meanings()));
     }
 
     void readFailed(long now, FleetEvent.ReadFailure failure) {
@@ -139,63 +143,66 @@
     }
 
     /**
-     * Receives what another node knows. It has waited for entries that may come back, so that what it tells as removed is
-     * gone.
+     * Merges the entries that another node sent. The sender reports an entry as removed only after it has waited for it
+     * to come back, so such an entry is gone.
      */
-    void told(long now, NodeName from, PeerMessage.Entries told) {
+    void received(long now, NodeName from, PeerMessage.Entries message) {
         confirmedNanos = now;
-        answers.heard(told.upTo().era());
-        if (told.upTo().era() > knownUpTo().era()) {
+        answers.eraReceived(message.upTo().era());
+        if (message.upTo().era() > knownUpTo().era()) {
             reads.eraBegan(now);
         }
-        List<KnownEntry> newer = entries.mergeTold(told.upTo(), told.complete(), told.entries());
-        Source source = new Source(from.value(), told.upTo(), now, Map.of());
-        take(now, newer, source);
-        newer.forEach(entry -> expectAgain(now, entry));
-        told.entries().forEach(entry -> endWait(now, entry, source));
-        updates.caughtUp(told.upTo());
+        List<KnownEntry> newer = entries.mergeTold(message.upTo(), message.complete(), message.entries());
+        Source source = new Source(from.value(), message.upTo(), now, Map.of());
+        apply(now, newer, source);
+        newer.forEach(entry -> expectRepublication(now, entry));
+        message.entries().forEach(entry -> removeIfKnownRemoved(now, entry, source));
+        updates.caughtUp(message.upTo());
         if (configuration.isPresent()) {
             reads.told(now);
         }
     }
 
     /**
-     * Guards against a copy that is gone for good and stays in use, since only a node that knows nothing of the platform's
-     * present era tells of it: what the platform has lost must be written there again.
+     * Expects an entry of an older era to be written at the platform again, and removes its copy if that does not
+     * happen.
+     *
+     * <p>Guards against a copy that is gone for good but stays in use because a node that does not know the platform's
+     * present era reports it: an entry that the platform has lost must be written there again.
      */
-    private void expectAgain(long now, KnownEntry told) {
-        long era = told.revision().era();
-        if (!told.isRemoved()
+    private void expectRepublication(long now, KnownEntry received) {
+        long era = received.revision().era();
+        if (!received.isRemoved()
                 && era != Revision.UNKNOWN_ERA
                 && era < entries.asOf().era()) {
-            copies.remove(now, told.key(), reads.expectedUntilNanos(now));
+            copies.remove(now, received.key(), reads.expectedUntilNanos(now));
         }
     }
 
     /**
-     * Drops a copy that this node knows to be removed and that may come back, where another node knows that it does not.
+     * Removes a copy whose entry this node still expects back when another node knows that it is removed.
      *
-     * <p>Guards against work for a copy that has left, sent by a node that could not read the platform for a while: it can't
-     * tell an entry that was removed from one that lapsed while the platform was away, and nodes that read all the time can.
+     * <p>Guards against sending work to a copy that has left: a node that could not read the platform for a while can't
+     * tell a removed entry from one that lapsed while the platform was away, but nodes that read all the time can.
      */
-    private void endWait(long now, KnownEntry told, Source source) {
-        if (told.isRemoved() && copies.isMissing(told.key()) && updates.isReplacedBy(told)) {
-            remove(now, told.key(), told.revision().newest(source.asOf()), source);
+    private void removeIfKnownRemoved(long now, KnownEntry received, Source source) {
+        if (received.isRemoved() && copies.isMissing(received.key()) && updates.isReplacedBy(received)) {
+            remove(now, received.key(), received.revision().newest(source.asOf()), source);
         }
     }
 
-    /** Returns what another node lacks. */
-    PeerMessage.Entries lackingAt(PeerMessage.EntriesWanted wanted) {
-        return updates.lackingAt(wanted);
+    /** Returns the entries that another node does not have. */
+    PeerMessage.Entries entriesMissingAt(PeerMessage.EntriesWanted wanted) {
+        return updates.entriesMissingAt(wanted);
     }
 
-    /** Returns up to which revision this node knows all changes, by its own reads or from others. */
+    /** Returns the revision up to which this node knows all changes, from its own reads or from other nodes. */
     Revision knownUpTo() {
         return entries.asOf().newest(updates.revision());
     }
 
-    /** Receives entries; those told by another node count as changed as of when it told them. */
-    private void take(long now, List<KnownEntry> newer, Source source) {
+    /** Applies newer entries; an entry from another node counts as changed at that node's revision. */
+    private void apply(long now, List<KnownEntry> newer, Source source) {
         for (KnownEntry entry : newer) {
             Revision at = entry.revision().newest(source.asOf());
             if (entry.text().isEmpty()) {
@@ -209,12 +216,12 @@
     private void remove(long now, String key, Revision at, Source source) {
         copies.remove(now, key, source.missingUntilNanos()).ifPresent(copy -> {
             lapsed.add(now, copy);
-            gone(key, copy, at, source.name());
+            dropped(key, copy, at, source.name());
         });
     }
 
-    private void gone(String key, Copy copy, Revision at, String learnedFrom) {
-        digest = NOT_KNOWN;
+    private void dropped(String key, Copy copy, Revision at, String learnedFrom) {
+        digest = UNKNOWN_DIGEST;
         updates.dropped(key, at);
         logCopy(copy, GONE, at, learnedFrom);
     }
@@ -225,7 +232,7 @@
         switch (meaning) {
             case Publication.Configured(FleetConfiguration published) -> adopt(entry, published, at, source.name());
             case Publication.Listed(CopyRecord record) -> {
-                updates.decideBy(entry);
+                updates.use(entry);
                 copies.put(now, entry.key(), record, entry.revision()).ifPresent(copy -> {
                     changed(entry.key(), at);
                     String state = copy.isLeaving() ? "draining" : Decision.CopyChanged.READY;
@@ -236,8 +243,8 @@
             case Publication.Unreadable(String fault) -> {
                 effects.count(ConfigurationCount.REFUSED);
                 effects.log(new Decision.EntryRefused(entry.key(), entry.revision(), fault));
-                // The last value that could be read holds no longer: nobody knows who is at that address now.
-                copies.remove(now, entry.key(), now).ifPresent(copy -> gone(entry.key(), copy, at, source.name()));
+                // The last readable value is no longer valid: it is unknown which copy listens at that address now.
+                copies.remove(now, entry.key(), now).ifPresent(copy -> dropped(entry.key(), copy, at, source.name()));
             }
         }
     }
@@ -250,7 +257,7 @@
         effects.count(ConfigurationCount.ADOPTED);
         effects.log(new Decision.ConfigurationAdopted(
                 published.version(), version(), published.routes().size(), entry.revision(), learnedFrom));
-        updates.decideBy(entry);
+        updates.use(entry);
         changed(entry.key(), at);
         configuration = Optional.of(published);
         routes = new RouteTable(published.routes());
@@ -261,11 +268,14 @@
         effects.add(new FleetEffect.LimitClients(published.limits()));
     }
 
-    /** Drops what did not come back after the platform did, and forgets what was removed long ago. */
+    /**
+     * Removes copies whose entries did not come back after the platform did, and forgets entries that were removed long
+     * ago.
+     */
     void passTime(long now) {
         copies.dropMissing(now).forEach((key, copy) -> {
             lapsed.add(now, copy);
-            digest = NOT_KNOWN;
+            digest = UNKNOWN_DIGEST;
             updates.dropped(key, entries.asOf());
             logCopy(copy, GONE, entries.asOf(), PLATFORM);
         });
@@ -274,21 +284,22 @@
     }
 
     private void changed(String key, Revision at) {
-        digest = NOT_KNOWN;
+        digest = UNKNOWN_DIGEST;
         updates.changed(key, at);
     }
 
-    /** What this node decides by, in a form in which two nodes can compare it. */
+    /** Returns a digest of the state that this node uses, which two nodes can compare. */
     PublishedState published() {
-        if (digest == NOT_KNOWN) {
+        if (digest == UNKNOWN_DIGEST) {
             digest = PublishedState.digest(version(), copies.all().stream().map(Copy::record));
         }
         return new PublishedState(updates.position(), digest);
     }
 
     /**
-     * Returns how many nodes may serve callers now: those beside copies of named services, those beside other published copies
-     * that are in touch, and those that lately lapsed without leaving. An entry of another writer names no node.
+     * Returns how many nodes may serve callers now: the nodes of copies of named services, the reachable nodes of other
+     * published copies, and nodes whose entries recently lapsed without a planned stop. An entry of an unrelated writer
+     * names no node.
      */
     int nodeCount(long now, Predicate<NodeName> inTouch) {
         Set<String> hosts = new HashSet<>();
@@ -297,7 +308,7 @@
         return lapsed.countWith(now, hosts);
     }
 
-    /** Notes that another node decides by the same. */
+    /** Notes that another node reported the same state. */
     void confirmed(long now) {
         confirmedNanos = now;
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
@@ -9,38 +9,43 @@
 import org.carawaysill.policy.message.StateSummary.NodeState;
 
 /**
- * Sums up what the copies of each service are doing that may get work now.
+ * Sums up the load of the copies of each service that may get work now.
  *
- * <p>What a node reports whose copy is gone or leaves does not count. Guards against a plan that admits what nobody can
- * run: where three of four copies of a deep service are gone by what is published, their nodes still report all their slots,
- * and hardly any chain of calls through the last copy ends in time. In virtual time, 0.41 in place of 0.33 of the requests
- * then end within their aim, and 590 in place of 2,800 fail. Not thread safe: owned by the policy.
+ * <p>The load reported by a node whose copy is gone or leaving does not count. Guards against admitting requests that
+ * no copy can run: if three of four copies of a deep service are no longer published, their nodes still report all
+ * their slots, and hardly any chain of calls through the last copy ends in time. In virtual time, 0.41 instead of 0.33
+ * of the requests then end within their aim, and 590 instead of 2,800 fail. Not thread safe: owned by the policy.
  */
 final class ServiceLoads {
 
     private final FleetSettings settings;
-    private final Beliefs beliefs;
-    private final Reach reach;
+    private final PublishedView view;
+    private final ReachableNodes reachableNodes;
     private final FleetState state;
     private final LocalRuns localRuns;
 
-    ServiceLoads(FleetSettings settings, Beliefs beliefs, Reach reach, FleetState state, LocalRuns localRuns) {
+    ServiceLoads(
+            FleetSettings settings,
+            PublishedView view,
+            ReachableNodes reachableNodes,
+            FleetState state,
+            LocalRuns localRuns) {
         this.settings = settings;
-        this.beliefs = beliefs;
-        this.reach = reach;
+        this.view = view;
+        this.reachableNodes = reachableNodes;
         this.state = state;
         this.localRuns = localRuns;
     }
 
-    /** Returns the loads by service; a service without a copy that may get work is not there. */
+    /** Returns the loads by service; a service without a copy that may get work is absent. */
     Map<ServiceName, ServiceLoad> sum(long now) {
-        lookAtOwnCopy(now);
+        updateOwnCopy(now);
         return settings.without().contains(Mechanism.USABLE_SLOTS) ? ofAllNodes(now) : ofUsableCopies(now);
     }
 
-    /** Nobody reports this node's own copy to it. */
-    private void lookAtOwnCopy(long now) {
-        for (Copy copy : beliefs.copies().usable(settings.service())) {
+    /** Updates the load of this node's own copy, which no other node reports to it. */
+    private void updateOwnCopy(long now) {
+        for (Copy copy : view.copies().usable(settings.service())) {
             if (copy.node().equals(settings.self())) {
                 copy.told(now, localRuns.load(now));
                 copy.works(localRuns.workSeconds(now));
@@ -50,8 +55,8 @@
 
     private Map<ServiceName, ServiceLoad> ofUsableCopies(long now) {
         Map<ServiceName, ServiceLoad> loads = new HashMap<>();
-        for (Copy copy : beliefs.copies().usable()) {
-            if (reach.contains(now, copy.node())) {
+        for (Copy copy : view.copies().usable()) {
+            if (reachableNodes.contains(now, copy.node())) {
                 loads.merge(copy.record().service(), ServiceLoad.of(copy.load()), ServiceLoad::plus);
             }
         }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/BillSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/BillSite.java
@@ -6,10 +6,10 @@
 import org.carawaysill.policy.fleet.mechanism.Mechanism;
 
 /**
- * A site of 95 nodes in five availability zones, whose deepest service has six copies and is full at the usual rates: two
- * kinds of requests make eight and four short calls there, three services below the one that they enter.
+ * A site of 95 nodes in five availability zones, whose deepest service has six copies and is full at the usual rates:
+ * two kinds of requests make eight and four short calls there, three services below the one that they enter.
  *
- * <p>Slots, speeds, times of work, aims and limits are those of the sheet that a customer gave. Not thread safe.
+ * <p>Slots, speeds, work times, aims and limits come from a customer's data sheet. Not thread safe.
  */
 final class BillSite extends VirtualSite {
 
@@ -45,7 +45,7 @@
         add("issuer", 22, new double[] {0.6, 1.0, 1.4}, WORKS, 5, 5, 4, 5, 5);
         add("parties", 21, new double[] {0.7, 0.7, 1.6}, WORKS, 7, 7, 6, 5, 6);
         add(DEEP, 15, new double[] {0.7, 0.7, 1.6}, WORKS, 2, 1, 1, 1, 1);
-        slowsDownWhenNearlyFull(DEEP);
+        slowDownWhenNearlyFull(DEEP);
         fleet.runUntil(START);
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/FleetStateTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/FleetStateTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import org.carawaysill.model.identity.NodeName;
 import org.carawaysill.model.identity.ServiceName;
-import org.carawaysill.policy.fleet.VirtualFleet.Told;
+import org.carawaysill.policy.fleet.VirtualFleet.ReceivedSummary;
 import org.carawaysill.policy.fleet.VirtualFleet.VirtualNode;
 import org.carawaysill.policy.message.PeerMessage;
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
@@ -25,12 +25,12 @@
 
 class FleetStateTest extends SettledFleet {
 
-    /** Those that tell a node of the fleet. */
-    private static List<String> tellersOf(VirtualNode node) {
-        return node.told.keySet().stream().map(name -> name.value()).toList();
+    /** Returns the nodes that sent a node summaries of the fleet. */
+    private static List<String> aggregatorsOf(VirtualNode node) {
+        return node.summaries.keySet().stream().map(name -> name.value()).toList();
     }
 
-    private static double offered(Told told) {
+    private static double offered(ReceivedSummary told) {
         return told.summary().routes().stream()
                 .filter(route -> route.route().equals(PATH))
                 .flatMap(route -> route.demands().stream())
@@ -38,9 +38,9 @@
                 .sum();
     }
 
-    private static Told latest(VirtualNode node) {
-        return node.told.values().stream()
-                .max(Comparator.comparingLong(Told::at))
+    private static ReceivedSummary latest(VirtualNode node) {
+        return node.summaries.values().stream()
+                .max(Comparator.comparingLong(ReceivedSummary::at))
                 .orElseThrow();
     }
 
@@ -58,9 +58,9 @@
         }
 
         /*
-         * Reports went from all nodes to all. At 95 nodes each of them sent and got 235 a second, which made over half of the
-         * bytes between availability zones, and at ten times the nodes it would have been ten times as many. A node's share of
-         * the work must be the same at any size.
+         * Guards against reports from all nodes to all nodes. At 95 nodes each of them sent and received 235 a second,
+         * which made over half of the bytes between availability zones, and the number grows with the size of the
+         * fleet. The messages of a node must not depend on the size of the fleet.
          */
         @Test
         void ofTheFleetLeavesTheMessagesOfANodeAsTheyAre() {
@@ -76,8 +76,7 @@
             long before = fleet.control.bytesAcrossZones;
             fleet.runUntil(SETTLED + (long) (SECONDS * SECOND));
             double each = (fleet.control.bytesAcrossZones - before) / SECONDS;
-            // From all to all, 95 x 94 brief reports in each interval, four fifths of them between zones: 1.1 MB a
-            // second.
+            // 95 x 94 short reports in each interval, four fifths of them between zones, would be 1.1 MB a second.
             assertTrue(each < 0.11e6, () -> each + " bytes a second");
         }
     }
@@ -86,8 +85,8 @@
     class Demand {
 
         /*
-         * Clients of one availability zone come in a rush. Entries of all zones must know before queues have grown, so that
-         * they let in what fits of all.
+         * The demand rises in one availability zone. The nodes of all zones must know before queues have grown, so that
+         * they admit what fits in total.
          */
         @Test
         void isKnownEverywhereSoonAndCountedOnce() {
@@ -100,11 +99,11 @@
             }
             fleet.runUntil(SETTLED + 1200 * MILLI);
             for (int zone = 0; zone < ZONES; zone++) {
-                Told told = latest(member(zone(zone)));
+                ReceivedSummary told = latest(lastRanked(zone(zone)));
                 assertTrue(offered(told) > 0, "zone " + zone);
             }
             fleet.runUntil(SETTLED + 5 * SECOND);
-            Told told = latest(member(zone(0)));
+            ReceivedSummary told = latest(lastRanked(zone(0)));
             assertEquals(perSecond, offered(told), 0.2 * perSecond);
         }
     }
@@ -120,22 +119,22 @@
         }
 
         /*
-         * A node that sums up for its zone loses power, without a sign on its connections. Its zone must go on hearing of the
-         * others from the second one, and all others of its zone.
+         * An aggregator loses power, without a sign on its connections. Its zone must still receive the states of all
+         * other nodes, including those of its own zone, from the second aggregator.
          */
         @Test
-        void ofOneThatSumsUpLeavesNoZoneBlind() {
+        void ofAnAggregatorLeavesNoZoneUninformed() {
             settled(40);
-            VirtualNode watcher = member(zone(3));
-            String lost = tellersOf(watcher).getFirst();
-            fleet.nodes.get(lost).vanish();
+            VirtualNode watcher = lastRanked(zone(3));
+            String lost = aggregatorsOf(watcher).getFirst();
+            fleet.nodes.get(lost).losePower();
             for (int step = 1; step <= 20; step++) {
                 fleet.runUntil(SETTLED + step * 200 * MILLI);
                 long age = fleet.now - latest(watcher).at();
                 assertTrue(age <= 500 * MILLI, "blind for " + age / MILLI + " ms");
             }
             for (VirtualNode node : nodes) {
-                if (node.told.size() >= 2 && node.alive) {
+                if (node.summaries.size() >= 2 && node.alive) {
                     List<String> listed = listed(node);
                     assertEquals(nodes.size() - 1, listed.size(), node.name.value());
                     assertTrue(!listed.contains(lost));
@@ -144,14 +143,14 @@
         }
 
         /*
-         * A node loses power to which most others have sent nothing for long. Each of them would lose its first requests to
-         * it, until it has found out for itself; those that hear its reports tell.
+         * A node loses power to which most other nodes have sent nothing for long. Without the aggregators' summaries,
+         * each of them would lose its first requests to that node before it detects the failure itself.
          */
         @Test
-        void ofANodeIsKnownToThoseWhoDoNotTalkToIt() {
+        void ofANodeIsKnownToNodesWithoutTrafficToIt() {
             settled(40);
-            VirtualNode lost = member(zone(1));
-            lost.vanish();
+            VirtualNode lost = lastRanked(zone(1));
+            lost.losePower();
             lost.unpublish();
             lost.publish(false);
             fleet.runUntil(SETTLED + 2200 * MILLI);
@@ -177,8 +176,9 @@
     class Silence {
 
         /*
-         * A connection between two nodes goes silent without a reset, with a request on it. Requests that follow would be lost
-         * one after the other; it is found within about 1.2 s, and given up for a new one.
+         * Guards against a connection between two nodes that goes silent without a reset while it carries a request.
+         * Later requests would be lost one after the other; the silence must be detected within about 1.2 s, and the
+         * connection replaced.
          */
         @Test
         void ofAConnectionThatCarriesRequestsIsFound() {
@@ -216,7 +216,7 @@
     }
 
     @Nested
-    class Nonsense {
+    class InvalidSummaries {
 
         private final SplittableRandom random = new SplittableRandom(5);
 
@@ -259,20 +259,21 @@
         }
 
         /*
-         * A node tells others sums that make no sense, of nodes and services that nobody knows. None of them may fail over it,
-         * and once it has stopped and a few requests have shown again what they cost, all are served as before.
+         * A node sends summaries with invalid values, unknown nodes and unknown services. No other node may fail
+         * because of them. After the last one, once a few requests have shown again what they cost, all requests are
+         * served as before.
          */
         @Test
-        void thatANodeTellsIsForgottenSoon() {
+        void areForgottenSoon() {
             settled(20);
-            VirtualNode liar = nodes.getFirst();
+            VirtualNode sender = nodes.getFirst();
             for (int i = 0; i < 2000; i++) {
                 VirtualNode victim = nodes.get(1 + random.nextInt(nodes.size() - 1));
                 StateSummary summary = anySummary();
                 PeerMessage message = random.nextBoolean()
                         ? new PeerMessage.GroupSummary(summary)
                         : new PeerMessage.FleetSummary(summary);
-                fleet.at(SETTLED + i * MILLI, () -> victim.deliver(new FleetEvent.PeerReceived(liar.name, message)));
+                fleet.at(SETTLED + i * MILLI, () -> victim.deliver(new FleetEvent.PeerReceived(sender.name, message)));
             }
             fleet.runUntil(SETTLED + 5 * SECOND);
             List<Boolean> good = new ArrayList<>();
--- a/policy/src/test/java/org/carawaysill/policy/fleet/IdentificationTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/IdentificationTest.java
@@ -110,7 +110,7 @@
             assertEquals(List.of(), fleet.runs);
         }
 
-        /** Guards against a client that names its request as a call of a copy, and so needs no key. */
+        /** Guards against a client that avoids the key by naming its request like a call of a copy. */
         @Test
         void areRequiredOfRequestsThatAreNamedAsCalls() {
             entry.works.put(ENTRY, new Work(300 * MILLI, List.of()));
@@ -140,9 +140,9 @@
             assertTrue(Outcomes.isGood(outcome("b", ENTRY, key("k-3"))));
         }
 
-        /** Guards against a node that goes on accepting a key, since the platform turns it away while it serves others. */
+        /** Guards against a node that keeps accepting a removed key because the platform refuses its reads. */
         @Test
-        void reachANodeThatThePlatformTurnsAway() {
+        void reachANodeThatThePlatformRefuses() {
             entry.readable = false;
             fleet.runUntil(fleet.now + 2 * SECOND);
             configure(organisation("agents", 1, "k-3"));
@@ -170,14 +170,16 @@
                     runs("a").getFirst().organisation());
         }
 
-        /** Guards against a final refusal by a node that has heard nothing for long: the key may have been added since. */
+        /**
+         * Guards against a final refusal by a node that has long received nothing: the key may have been added since.
+         */
         @Test
-        void thatCanNotBeHeardOfLeaveARefusalOpen() {
+        void thatCanNotBeReceivedLeaveARefusalTemporary() {
             entry.readable = false;
             back.readable = false;
             fleet.silence(entry, back);
             fleet.runUntil(fleet.now + 500 * MILLI);
-            back.vanish();
+            back.losePower();
             fleet.runUntil(fleet.now + 4 * SECOND);
             assertEquals(RefusalReason.KEY_UNVERIFIED, refusal("a", ENTRY, key("k-9")));
             assertEquals(RefusalReason.KEY_MISSING, refusal("b", ENTRY, Credential.NONE));
@@ -188,7 +190,7 @@
     @Nested
     class Ranks {
 
-        /** The organisation's rank goes before the route's, also for the calls that a copy makes. */
+        /** The organisation's rank takes precedence over the route's, also for the calls that a copy makes. */
         @Test
         void ofOrganisationsGoBeforeThoseOfRoutes() {
             back.works.put(DEEP, new Work(50 * MILLI, List.of()));
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnDaysTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PlatformReturnDaysTest.java
@@ -17,37 +17,38 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Days on which the platform comes back from older copies, again and again, while nodes are turned away, killed and started,
- * copies leave and come, and the configuration changes. {@code -Dreturns.seeds=400 -Dreturns.first=1} plays other seeds.
+ * Random scenarios in which the platform is repeatedly restored from older states, while nodes are refused by it,
+ * killed and started, copies leave and come, and the configuration changes. {@code -Dreturns.seeds=400
+ * -Dreturns.first=1} plays other seeds.
  */
 class PlatformReturnDaysTest {
 
     private static final int SEEDS = Integer.getInteger("returns.seeds", 40);
     private static final int FIRST_SEED = Integer.getInteger("returns.first", 1);
 
-    /** Guards against beliefs that depend on the order of revisions over a return of the platform from an older copy. */
+    /** Guards against known state that depends on the order of revisions across a restore of the platform. */
     @Test
     void keepChangesInForceAndLeavingCopiesWithoutWork() {
         List<String> breaches = new ArrayList<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            for (String breach : new Day(seed).play()) {
+            for (String breach : new Scenario(seed).play()) {
                 breaches.add("seed " + seed + ": " + breach);
             }
         }
         assertEquals(List.of(), breaches);
     }
 
-    /** One day. Not thread safe. */
-    private static final class Day {
+    /** One scenario. Not thread safe. */
+    private static final class Scenario {
 
         private static final long MILLI = VirtualFleet.MILLI;
         private static final long SECOND = 1000 * MILLI;
         private static final long BOUND = VirtualFleet.DRAIN_LIMIT.toNanos();
 
-        /** A process that has just started may know only the older copy for so long. */
+        /** How long a process that has just started may know only the restored older state. */
         private static final long IN_TOUCH_AFTER = 3 * SECOND;
 
-        /** What is written so soon before the platform goes away may have been read by nobody. */
+        /** Entries written less than this before the platform becomes unavailable may have been read by no node. */
         private static final long READ_WITHIN = SECOND;
 
         /** An entry that is removed sooner after the platform's return may have lapsed meanwhile. */
@@ -59,7 +60,7 @@
         private static final int NODES_OF_A_SERVICE = 6;
         private static final int SERVED_PERCENT = 97;
 
-        /** Without a few requests more than its share, a copy gets one of each some twelve. */
+        /** Unless it gets more than its share, a copy gets about one of every twelve requests. */
         private static final long REQUESTS_APART = 4 * MILLI;
 
         private static final long FIRST_ERA = 100;
@@ -71,7 +72,7 @@
         private final Map<String, Long> leftAt = new HashMap<>();
         private final Map<String, Long> startedAt = new HashMap<>();
         private final Map<String, String> entryOf = new HashMap<>();
-        private final Set<String> lost = new HashSet<>();
+        private final Set<String> reported = new HashSet<>();
         private final List<String> breaches = new ArrayList<>();
         private final List<Absence> absences = new ArrayList<>();
         private long returns;
@@ -82,7 +83,7 @@
 
         private record Absence(long from, long until) {}
 
-        Day(int seed) {
+        Scenario(int seed) {
             fleet = new VirtualFleet(seed);
             route = new ChangingRoute(fleet);
             random = new SplittableRandom(7919L * seed);
@@ -98,11 +99,11 @@
             scheduleReturns();
             scheduleChanges();
             scheduleLeaves();
-            scheduleTurnedAway();
+            scheduleRefusedReads();
             scheduleRestarts();
             fleet.runUntil(START);
             sendRequests();
-            judge();
+            check();
             return breaches;
         }
 
@@ -135,7 +136,7 @@
             fleet.at(at + away + 300 * MILLI + random.nextLong(1200 * MILLI), this::writeAgain);
         }
 
-        /** Mostly the next one; at times one that can't be read, one of before, or one far ahead. */
+        /** Returns mostly the next era; sometimes an unreadable one, an earlier one, or one far ahead. */
         private OptionalLong nextEra() {
             return switch (random.nextInt(6)) {
                 case 0 -> OptionalLong.empty();
@@ -149,7 +150,10 @@
             IntStream.range(0, count).forEach(i -> fleet.publish("other " + i, Optional.empty()));
         }
 
-        /** The operator writes its newest configuration again; what no node can know yet counts from now on. */
+        /**
+         * Makes the operator publish the newest configuration again; a version that no node can know counts from now
+         * on.
+         */
         private void writeAgain() {
             if (!fleet.platformDown) {
                 route.writeAgain();
@@ -164,7 +168,7 @@
         }
 
         private void change() {
-            if (!isAcknowledgedForGood(0)) {
+            if (!isAcknowledgedDurably(0)) {
                 fleet.at(fleet.now + 100 * MILLI, this::change);
                 return;
             }
@@ -172,8 +176,8 @@
             versions.add(new Version(fleet.now, route.service()));
         }
 
-        /** Whether the platform is there, and nodes have time to read what is written now. */
-        private boolean isAcknowledgedForGood(long sinceReturn) {
+        /** Returns whether the platform is available, and nodes have time to read what is written now. */
+        private boolean isAcknowledgedDurably(long sinceReturn) {
             return absences.stream()
                     .noneMatch(absence ->
                             fleet.now > absence.from() - READ_WITHIN && fleet.now < absence.until() + sinceReturn);
@@ -183,18 +187,18 @@
             List<VirtualNode> nodes = List.copyOf(fleet.nodes.values());
             for (int i = 0; i < 4; i++) {
                 VirtualNode node = nodes.get(i);
-                boolean saysSo = random.nextBoolean();
-                fleet.at(START + SECOND + random.nextLong(QUIET_FROM - START), () -> leave(node, saysSo));
+                boolean announced = random.nextBoolean();
+                fleet.at(START + SECOND + random.nextLong(QUIET_FROM - START), () -> leave(node, announced));
             }
         }
 
-        /** A copy leaves by saying so, or by having its entry removed. */
-        private void leave(VirtualNode node, boolean saysSo) {
-            if (!isAcknowledgedForGood(saysSo ? 0 : STABLE_AFTER)) {
-                fleet.at(fleet.now + 200 * MILLI, () -> leave(node, saysSo));
+        /** Removes a copy from service, by announcing it or by removing its entry. */
+        private void leave(VirtualNode node, boolean announced) {
+            if (!isAcknowledgedDurably(announced ? 0 : STABLE_AFTER)) {
+                fleet.at(fleet.now + 200 * MILLI, () -> leave(node, announced));
                 return;
             }
-            if (saysSo) {
+            if (announced) {
                 node.publish(true);
             } else {
                 node.unpublish();
@@ -202,17 +206,17 @@
             leftAt.put(node.copy(), fleet.now);
         }
 
-        private void scheduleTurnedAway() {
+        private void scheduleRefusedReads() {
             List<VirtualNode> nodes = List.copyOf(fleet.nodes.values());
             int turn = random.nextInt(ChangingRoute.ZONES + 1);
             long from = START + random.nextLong(6 * SECOND);
             long until = Math.min(QUIET_FROM, from + 3 * SECOND + random.nextLong(10 * SECOND));
-            List<VirtualNode> turnedAway = IntStream.range(0, nodes.size())
+            List<VirtualNode> refused = IntStream.range(0, nodes.size())
                     .filter(i -> i % (ChangingRoute.ZONES + 1) == turn)
                     .mapToObj(nodes::get)
                     .toList();
-            fleet.at(from, () -> turnedAway.forEach(node -> node.readable = false));
-            fleet.at(until, () -> turnedAway.forEach(node -> node.readable = true));
+            fleet.at(from, () -> refused.forEach(node -> node.readable = false));
+            fleet.at(until, () -> refused.forEach(node -> node.readable = true));
         }
 
         private void scheduleRestarts() {
@@ -255,10 +259,10 @@
             fleet.runUntil(END + 2 * SECOND);
         }
 
-        private void judge() {
+        private void check() {
             for (VirtualFleet.Run run : fleet.runs) {
                 if (entryOf.containsKey(run.requestName())) {
-                    judge(run);
+                    check(run);
                 }
             }
             if (servedInQuiet * 100L < sentInQuiet * (long) SERVED_PERCENT) {
@@ -266,20 +270,22 @@
             }
         }
 
-        private void judge(VirtualFleet.Run run) {
+        private void check(VirtualFleet.Run run) {
             String of = route.serviceOf(run);
-            if (!allowed(run.at()).contains(of) && lost.add("version")) {
+            if (!allowed(run.at()).contains(of) && reported.add("version")) {
                 breaches.add("run by an older configuration at " + run.at() / MILLI + " from "
                         + entryOf.get(run.requestName()));
             }
             Long left = leftAt.get(run.copy());
-            if (left != null && run.at() > left + BOUND && lost.add(run.copy())) {
+            if (left != null && run.at() > left + BOUND && reported.add(run.copy())) {
                 breaches.add(run.copy() + " left at " + left / MILLI + " and got work at " + run.at() / MILLI + " from "
                         + entryOf.get(run.requestName()));
             }
         }
 
-        /** The service of the newest version that must be in force at a moment, and those of all newer ones. */
+        /**
+         * Returns the service of the newest version that must be in force at a moment, and those of all newer versions.
+         */
         private Set<String> allowed(long at) {
             Set<String> allowed = new HashSet<>();
             for (Version version : versions) {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/RemovalTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/RemovalTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Copies that leave by having their entry removed, without being published as draining. */
+/** Copies that leave by the removal of their entry, without being published as draining. */
 class RemovalTest {
 
     private static final long MILLI = VirtualFleet.MILLI;
     private static final long SECOND = 1000 * MILLI;
 
-    /** Within which a copy whose entry was removed gets no more work. */
+    /** The time after which a copy whose entry was removed must get no more work. */
     private static final long BOUND = VirtualFleet.DRAIN_LIMIT.toNanos();
 
     private static final String PATH = "/entry/";
     private static final int COPIES = 28;
     private static final int ZONES = 3;
     private static final long REQUESTS_APART = 2 * MILLI;
-    private static final long FIRST_TURNED_AWAY = 10 * SECOND;
+    private static final long FIRST_REFUSED = 10 * SECOND;
 
     private final VirtualFleet fleet = new VirtualFleet(31);
     private final List<VirtualNode> nodes = new ArrayList<>();
@@ -39,12 +39,12 @@
             node.works.put(PATH, new Work(5 * MILLI, List.of()));
             nodes.add(node);
         }
-        fleet.runUntil(FIRST_TURNED_AWAY - SECOND);
+        fleet.runUntil(FIRST_REFUSED - SECOND);
     }
 
-    private void turnAway(List<VirtualNode> turnedAway, long from, long until) {
-        fleet.at(from, () -> turnedAway.forEach(node -> node.readable = false));
-        fleet.at(until, () -> turnedAway.forEach(node -> node.readable = true));
+    private void refuseReads(List<VirtualNode> refused, long from, long until) {
+        fleet.at(from, () -> refused.forEach(node -> node.readable = false));
+        fleet.at(until, () -> refused.forEach(node -> node.readable = true));
     }
 
     private List<VirtualNode> zone(int zone) {
@@ -80,35 +80,40 @@
     @Nested
     class Requests {
 
-        /* Guards against a node that, turned away by the platform before, keeps a copy for gone entries that may come back. */
+        /*
+         * Guards against a node that, after the platform refused it, keeps using a removed copy because its entry may
+         * come back.
+         */
         @ParameterizedTest
         @ValueSource(longs = {0, 500, 1000, 1500, 2000, 2500})
-        void areNotSentToCopiesThatLeaveAfterNodesWereTurnedAway(long afterMillis) {
-            long until = FIRST_TURNED_AWAY + 8 * SECOND;
-            turnAway(nodes.subList(COPIES / 2, COPIES), FIRST_TURNED_AWAY, until);
+        void areNotSentToCopiesThatLeaveAfterNodesWereRefused(long afterMillis) {
+            long until = FIRST_REFUSED + 8 * SECOND;
+            refuseReads(nodes.subList(COPIES / 2, COPIES), FIRST_REFUSED, until);
             depart(until + 3 * SECOND + afterMillis * MILLI, 700 * MILLI, 8);
             assertEquals(List.of(), lateRuns(until + 14 * SECOND));
         }
 
-        /* Guards against removals held back by all readers, where those that failed take over from those that did not. */
+        /*
+         * Guards against removals held back by all readers when those that failed take over from those that did not.
+         */
         @ParameterizedTest
         @ValueSource(longs = {5200, 5700, 6200, 6700, 7200, 7700, 8200})
         void areNotSentToCopiesThatLeaveWhileReadersThatFailedComeBack(long afterMillis) {
-            fleet.at(FIRST_TURNED_AWAY, () -> fleet.platformDown = true);
-            fleet.at(FIRST_TURNED_AWAY + 2200 * MILLI, () -> fleet.platformDown = false);
-            depart(FIRST_TURNED_AWAY + afterMillis * MILLI, 100 * MILLI, 4);
-            assertEquals(List.of(), lateRuns(FIRST_TURNED_AWAY + 13 * SECOND));
+            fleet.at(FIRST_REFUSED, () -> fleet.platformDown = true);
+            fleet.at(FIRST_REFUSED + 2200 * MILLI, () -> fleet.platformDown = false);
+            depart(FIRST_REFUSED + afterMillis * MILLI, 100 * MILLI, 4);
+            assertEquals(List.of(), lateRuns(FIRST_REFUSED + 13 * SECOND));
         }
 
-        /* Guards against a removal that neither the node that was turned away nor those that it tells learn in time. */
+        /* Guards against a removal that neither the refused node nor the nodes that it informs learn in time. */
         @Test
-        void areNotSentToCopiesThatLeaveWhileOneZoneAfterTheOtherIsTurnedAway() {
+        void areNotSentToCopiesThatLeaveWhileOneZoneAfterTheOtherIsRefused() {
             for (int turn = 0; turn < ZONES; turn++) {
-                long from = FIRST_TURNED_AWAY + turn * 8 * SECOND;
-                turnAway(zone(turn), from, from + 8 * SECOND);
+                long from = FIRST_REFUSED + turn * 8 * SECOND;
+                refuseReads(zone(turn), from, from + 8 * SECOND);
             }
-            depart(FIRST_TURNED_AWAY + SECOND, SECOND, COPIES - 5);
-            assertEquals(List.of(), lateRuns(FIRST_TURNED_AWAY + 28 * SECOND));
+            depart(FIRST_REFUSED + SECOND, SECOND, COPIES - 5);
+            assertEquals(List.of(), lateRuns(FIRST_REFUSED + 28 * SECOND));
         }
     }
 }
