--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/AnswerSizes.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/AnswerSizes.java
@@ -5,21 +5,21 @@
 import java.util.Map;
 
 /**
- * How large the answers on each route usually are, as this node has seen.
+ * The usual size of the answers on each route, as this node has measured.
  *
  * <p>Not thread safe: owned by the policy.
  */
 public final class AnswerSizes {
 
-    /** The weight of one more answer: the last ten or so count. */
+    /** The weight of one more answer in the moving average: about the last ten count. */
     private static final double ANSWER_WEIGHT = 0.1;
 
     private final Map<String, Double> usual = new HashMap<>();
 
     /**
-     * Notes an answer.
+     * Adds an answer to the average of its route.
      *
-     * @param route its route
+     * @param route the route's name
      * @param bytes the length of its body
      */
     public void answered(String route, int bytes) {
@@ -27,19 +27,19 @@
     }
 
     /**
-     * Returns how large an answer is likely to be.
+     * Returns the usual size of an answer on a route.
      *
-     * @param route its route
-     * @return bytes, 0 where none is known
+     * @param route the route's name
+     * @return bytes, 0 while unknown
      */
     public double usual(String route) {
         return usual.getOrDefault(route, 0.0);
     }
 
     /**
-     * Forgets routes that are no longer published.
+     * Removes the routes that are no longer published.
      *
-     * @param routes the routes that are
+     * @param routes the published routes
      */
     public void retain(Collection<String> routes) {
         usual.keySet().retainAll(routes);
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
@@ -9,43 +9,45 @@
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
 /**
- * One published copy, and what this node has seen of it.
+ * A published copy, with what this node has observed of it.
  *
  * <p>Not thread safe: owned by the policy.
  */
 public final class Copy {
 
-    /** The weight of one more answer in the share of good answers: the last ten or so count. */
+    /** The weight of one more answer in the success rate: about the last ten count. */
     private static final double ANSWER_WEIGHT = 0.1;
 
     /**
-     * After so long without a request of this node it may have recovered, which only requests show. At eight seconds it serves
-     * a hundredth less of what comes after it has.
+     * The time without a request of this node after which the copy's failures no longer count: it may have recovered,
+     * which only requests can show. At eight seconds, a hundredth fewer of the requests after a recovery are served.
      */
-    private static final double FORGIVEN_AFTER_NANOS = Duration.ofSeconds(4).toNanos();
+    private static final double FAILURE_EXPIRY_NANOS = Duration.ofSeconds(4).toNanos();
 
     /**
-     * What its own node told with an answer is newer than what others heard of it, for so long: that takes three intervals
-     * of 0.4 s to come here. Without it, a busy copy's load went back to what it was a second ago, at each summary.
+     * For this long, a load that the copy's own node sent with an answer is newer than what other nodes received from
+     * it, which takes three intervals of 0.4 s to arrive here. Without this, each summary reset a busy copy's load to
+     * what it was a second ago.
      */
-    private static final long KNOWN_BETTER_NANOS = Duration.ofMillis(800).toNanos();
+    private static final long DIRECT_LOAD_VALIDITY_NANOS =
+            Duration.ofMillis(800).toNanos();
 
-    /** A cold copy works at about half its speed. */
+    /** The load of a copy during its warm-up is multiplied by this, since it works at about half its speed. */
     private static final double COLD_LOAD_FACTOR = 2;
 
-    private static final long PRESENT = Long.MAX_VALUE;
+    private static final long NOT_MISSING = Long.MAX_VALUE;
 
     private final long firstSeenNanos;
     private final Revision firstRevision;
     private final NodeName node;
     private CopyRecord record;
     private long warmNanos;
-    private long goneNanos = PRESENT;
+    private long goneNanos = NOT_MISSING;
     private boolean gone;
     private int outstanding;
     private int othersLoad;
     private LoadReport load;
-    private long toldNanos;
+    private long directLoadNanos;
     private double workSeconds;
     private double success = 1;
     private long answeredNanos;
@@ -53,7 +55,7 @@
     Copy(CopyRecord record, long now, Revision revision) {
         this.record = record;
         firstSeenNanos = now;
-        toldNanos = now - KNOWN_BETTER_NANOS;
+        directLoadNanos = now - DIRECT_LOAD_VALIDITY_NANOS;
         firstRevision = revision;
         node = new NodeName(record.address().host());
         load = new LoadReport(0, record.slots(), 0, 0);
@@ -61,7 +63,7 @@
     }
 
     /**
-     * Returns what is published of it.
+     * Returns the published record of the copy.
      *
      * @return the record
      */
@@ -70,26 +72,26 @@
     }
 
     /**
-     * Returns the node beside it.
+     * Returns the node beside the copy.
      *
-     * @return the node, named by its VM's IP number
+     * @return the node, named by the IP address of its VM
      */
     public NodeName node() {
         return node;
     }
 
     /**
-     * Returns whether this node has known it for some time.
+     * Returns whether this node has known the copy for at least the given time.
      *
      * @param now the monotonic time
-     * @param time how long
+     * @param time the time
      * @return whether it has
      */
     public boolean isKnownFor(long now, Duration time) {
         return now - firstSeenNanos >= time.toNanos();
     }
 
-    /** Receives a newer record; tells whether it says more than the last one. */
+    /** Takes in a newer record; returns whether it differs in more than the heartbeat. */
     boolean update(CopyRecord newer, long now) {
         boolean changed = newer.draining() != record.draining()
                 || newer.slots() != record.slots()
@@ -104,15 +106,15 @@
         goneNanos = Math.min(goneNanos, fromNanos);
     }
 
-    /** Notes that its entry is there; tells whether it was missing. */
+    /** Notes that the copy's entry is published; returns whether it was missing. */
     boolean keep() {
-        boolean back = isMissing();
-        goneNanos = PRESENT;
-        return back;
+        boolean reappeared = isMissing();
+        goneNanos = NOT_MISSING;
+        return reappeared;
     }
 
     boolean isMissing() {
-        return goneNanos != PRESENT;
+        return goneNanos != NOT_MISSING;
     }
 
     boolean isMissingAt(long now) {
@@ -124,21 +126,22 @@
     }
 
     /**
-     * Returns whether it left or ended.
+     * Returns whether the copy is draining or gone.
      *
-     * @return whether it may get no work for good
+     * @return whether it may never receive requests again
      */
     public boolean isLeaving() {
         return gone || record.draining();
     }
 
     /**
-     * Returns which of two copies at one address started later.
+     * Returns whether this copy started later than another one at the same address.
      *
-     * <p>Guards against a dead copy that is taken for the living one, which shows as 421 to most requests for two seconds
-     * after all nodes and copies lost power: a node that has just started sees the entries of both at the same moment, and
-     * the dead one's lapses only seconds later. Its entry was written last before the new one's was written first; where the
-     * platform came back from an older copy between the two, their own starts tell.
+     * <p>Guards against preferring a dead copy to the running one after all nodes and copies lost power, which shows as
+     * status 421 for most requests for two seconds: a node that has just started sees the entries of both at the same
+     * moment, and the dead one's entry expires only seconds later. The last write of the dead one's entry precedes the
+     * first write of the new one's, so the first revision decides; if the platform was restored from an older state in
+     * between, the start times of the copies decide.
      */
     boolean isNewerThan(Copy other) {
         if (firstSeenNanos != other.firstSeenNanos) {
@@ -149,7 +152,7 @@
                 : record.startedAtMillis() > other.record.startedAtMillis();
     }
 
-    /** Notes that this node sent it a request. */
+    /** Notes that this node sent a request to the copy. */
     public void sent() {
         outstanding++;
     }
@@ -158,7 +161,7 @@
      * Notes that a request of this node ended.
      *
      * @param now the monotonic time
-     * @param good whether the copy did what it was asked
+     * @param good whether the copy fulfilled the request
      */
     public void ended(long now, boolean good) {
         outstanding--;
@@ -167,82 +170,84 @@
     }
 
     /**
-     * Returns which share of the requests of this node it lately did. Without requests, it is forgotten that they failed.
+     * Returns the share of this node's recent requests that the copy fulfilled. Failures expire while this node sends
+     * no requests.
      *
      * @param now the monotonic time
      * @return 0 to 1
      */
     public double success(long now) {
-        double age = Math.min(1, (now - answeredNanos) / FORGIVEN_AFTER_NANOS);
+        double age = Math.min(1, (now - answeredNanos) / FAILURE_EXPIRY_NANOS);
         return success + age * (1 - success);
     }
 
-    /** Notes that a request of this node ended in a way that says nothing of the copy. */
+    /** Notes that a request of this node ended in a way that does not show whether the copy works. */
     public void withdrawn() {
         outstanding--;
     }
 
     /**
-     * Receives the load that its node told.
+     * Takes in the load that the copy's own node sent.
      *
      * @param now the monotonic time
      * @param newest the load
      */
     public void told(long now, LoadReport newest) {
-        toldNanos = now;
-        take(newest);
+        directLoadNanos = now;
+        updateLoad(newest);
     }
 
     /**
-     * Receives the load that others heard from its node, unless the node itself told it lately.
+     * Takes in the load that other nodes received from the copy's node, unless that node sent its load directly a short
+     * time ago.
      *
      * @param now the monotonic time
-     * @param heard the load
+     * @param relayed the load
      */
-    public void toldByOthers(long now, LoadReport heard) {
-        if (now - toldNanos >= KNOWN_BETTER_NANOS) {
-            take(heard);
+    public void toldByOthers(long now, LoadReport relayed) {
+        if (now - directLoadNanos >= DIRECT_LOAD_VALIDITY_NANOS) {
+            updateLoad(relayed);
         }
     }
 
-    private void take(LoadReport newest) {
+    private void updateLoad(LoadReport newest) {
         othersLoad = Math.max(0, newest.inFlight() + newest.queued() - outstanding);
         load = newest;
     }
 
     /**
-     * Receives how long it lately took for a request.
+     * Takes in the mean time that the copy recently took for a request.
      *
-     * @param seconds the mean, 0 where it is not known
+     * @param seconds the mean, 0 while unknown
      */
     public void works(double seconds) {
         workSeconds = seconds;
     }
 
     /**
-     * Returns how long it lately took for a request.
+     * Returns the mean time that the copy recently took for a request.
      *
-     * @return the mean in seconds, 0 where it is not known
+     * @return the mean in seconds, 0 while unknown
      */
     public double workSeconds() {
         return workSeconds;
     }
 
     /**
-     * Returns the load that its node told last.
+     * Returns the last known load of the copy.
      *
-     * @return the load; all slots free before anything was told
+     * @return the load; all slots free before any was received
      */
     public LoadReport load() {
         return load;
     }
 
     /**
-     * Estimates how loaded it would be with one more request.
+     * Estimates the load of the copy with one more request.
      *
      * @param now the monotonic time
-     * @param without what is switched off
-     * @return requests over limit; greater for a copy that is cold
+     * @param without the mechanisms that are switched off
+     * @return requests divided by the limit, multiplied by a factor during the warm-up
      */
     public double expectedLoad(long now, Set<Mechanism> without) {
         double expected = (othersLoad + outstanding + 1) / (double) Math.max(1, load.limit());
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyChoice.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyChoice.java
@@ -11,51 +11,58 @@
 import org.carawaysill.policy.fleet.mechanism.Mechanism;
 
 /**
- * Chooses the copy that gets a request: the least loaded of those in reach; near and fast ones first while there is room.
+ * Chooses the copy that receives a request: the least loaded of the reachable ones, with a preference for near and fast
+ * copies while slots are idle.
  *
- * <p>Costs are in units of load: requests over slots. Not thread safe: owned by the policy.
+ * <p>Costs are in units of load: requests divided by slots. Not thread safe: owned by the policy.
  */
 public final class CopyChoice {
 
-    /** How much less loaded a copy on this VM counts, since it is reached without a hop. */
+    /** Subtracted from the cost of a copy on this VM, since it is reached without a network hop. */
     private static final double LOCAL_GAIN = 0.25;
 
-    /** How much less loaded a copy in this availability zone counts: bytes between zones cost, and 1.4 ms each way. */
+    /**
+     * Subtracted from the cost of a copy in this availability zone: traffic between zones is charged by the byte and
+     * takes 1.4 ms each way.
+     */
     private static final double ZONE_GAIN = 0.2;
 
     /**
-     * How much less loaded a near copy counts besides, times the part of all slots that is idle. Without it, the speed of
-     * copies adds hops between zones: 2.6 in place of 1.6 for a request of a client in virtual time.
+     * Additionally subtracted for a copy in this availability zone, multiplied by the idle part of all slots. Without
+     * it, the preference for fast copies adds hops between zones: 2.6 instead of 1.6 for each client request in virtual
+     * time.
      */
     private static final double ZONE_GAIN_WHEN_IDLE = 0.5;
 
     /**
-     * An answer of so many bytes makes that gain twice as great. A hop costs some 600 bytes by itself, and an answer of a few
-     * kilobytes several times that, while a slow copy delays both alike.
+     * An answer of this size doubles {@link #ZONE_GAIN_WHEN_IDLE}. A hop itself costs some 600 bytes, and an answer of
+     * a few kilobytes several times that, while a slow copy delays small and large answers alike.
      */
-    private static final double BYTES_THAT_DOUBLE_IT = 1000;
+    private static final double ZONE_GAIN_DOUBLING_BYTES = 1000;
 
     /**
-     * How much more loaded a copy counts that takes twice as long as usual, times the part of all slots that is idle. Copies
-     * of one service differ by up to three times, which a chain of a dozen calls adds up. In virtual time, 0.97 in place of
-     * 0.94 of the requests at usual load end within their aim, and 0.95 in place of 0.93 at 1.7 times that. When no slot is
-     * idle, all copies are needed, however slow, and it counts for nothing.
+     * Added to the cost of a copy that takes the usual time, in proportion for slower and faster ones, multiplied by
+     * the idle part of all slots. Copies of one service differ in speed by a factor of up to three, which adds up over
+     * a chain of a dozen calls. In virtual time, 0.97 instead of 0.94 of the requests complete within their target time
+     * at the usual load, and 0.95 instead of 0.93 at 1.7 times that load. When no slot is idle, all copies are needed,
+     * however slow, and speed does not count.
      */
     private static final double SPEED_WEIGHT = 1.5;
 
-    /** A copy that takes longer than this many times the usual is no more shunned than one that takes just that. */
-    private static final double MOST_SLOWNESS = 3;
+    /** The slowness of a copy, as a multiple of the usual time, counts up to this bound. */
+    private static final double MAXIMUM_SLOWNESS = 3;
 
     /**
-     * How much more loaded a copy counts that fails all while another one fails none. Guards against a copy that answers with
-     * errors at once, which shows as one copy of a service that gets a multiple of its share and does none of it: it is idle
-     * and seems fast. A factor on its load does not hold it off, as no load times ten is no load. Failures count in
-     * comparison, since where all copies fail alike the cause is behind them. In virtual time, with one of four copies of a
-     * service failing all for seven seconds, 0.96 in place of 0.76 of the requests end within their aim.
+     * Added to the cost of a copy that fails all requests while another one fails none. Guards against a copy that
+     * answers with errors at once: it is idle, seems fast, and so receives a multiple of its share and fulfils none of
+     * it. A factor on its load would not help, since its load is zero. Failures count relative to the best copy,
+     * because when all copies fail alike the cause lies deeper in the call graph. In virtual time, with one of four
+     * copies of a service failing all requests for seven seconds, 0.96 instead of 0.76 of the requests complete within
+     * their target time.
      */
     private static final double FAILURE_WEIGHT = 4;
 
-    /** Spreads nodes that see the same loads, so that they do not all choose the same copy at once. */
+    /** Random spread of the costs, so that nodes that see the same loads do not all choose the same copy at once. */
     private static final double JITTER = 0.02;
 
     private final NodeName self;
@@ -64,11 +71,11 @@
     private final RandomGenerator random;
 
     /**
-     * Makes a chooser for one node.
+     * Creates a chooser for one node.
      *
      * @param self this node
-     * @param zone where it stands
-     * @param without what is switched off
+     * @param zone the availability zone of this node
+     * @param without the mechanisms that are switched off
      * @param random the source of jitter
      */
     public CopyChoice(NodeName self, AvailabilityZone zone, Set<Mechanism> without, RandomGenerator random) {
@@ -82,26 +89,26 @@
      * Chooses a copy.
      *
      * @param now the monotonic time
-     * @param copies the copies that may get the request
-     * @param tried copies that had it already
-     * @param answerBytes how large its answer is likely to be
-     * @param inReach tells whether a node can be reached
-     * @return the copy, empty where none is in reach
+     * @param copies the copies that may receive the request
+     * @param tried the copies that received earlier attempts
+     * @param answerBytes the usual size of its answer
+     * @param isReachable tells whether a node is reachable
+     * @return the copy, empty if none is reachable
      */
     public Optional<Copy> choose(
-            long now, List<Copy> copies, Set<CopyName> tried, double answerBytes, Predicate<NodeName> inReach) {
+            long now, List<Copy> copies, Set<CopyName> tried, double answerBytes, Predicate<NodeName> isReachable) {
         double idlePart = idlePart(now, copies);
-        double usualSeconds = usualSeconds(copies);
+        double meanWorkSeconds = meanWorkSeconds(copies);
         double bestSuccess = bestSuccess(now, copies);
         Copy best = null;
         double bestCost = Double.MAX_VALUE;
         for (Copy copy : copies) {
-            if (!tried.contains(copy.record().copy()) && inReach.test(copy.node())) {
+            if (!tried.contains(copy.record().copy()) && isReachable.test(copy.node())) {
                 double cost = copy.expectedLoad(now, without)
                         + JITTER * random.nextDouble()
-                        + idlePart * slowness(copy, usualSeconds)
-                        + unsoundness(now, copy, bestSuccess)
-                        - nearness(copy, idlePart, answerBytes);
+                        + idlePart * slownessPenalty(copy, meanWorkSeconds)
+                        + failurePenalty(now, copy, bestSuccess)
+                        - nearnessGain(copy, idlePart, answerBytes);
                 if (cost < bestCost) {
                     best = copy;
                     bestCost = cost;
@@ -119,7 +126,7 @@
         return copies.isEmpty() ? 0 : 1 - loads / copies.size();
     }
 
-    private static double usualSeconds(List<Copy> copies) {
+    private static double meanWorkSeconds(List<Copy> copies) {
         double sum = 0;
         int known = 0;
         for (Copy copy : copies) {
@@ -139,24 +146,24 @@
         return best;
     }
 
-    private double unsoundness(long now, Copy copy, double bestSuccess) {
+    private double failurePenalty(long now, Copy copy, double bestSuccess) {
         return without.contains(Mechanism.SUCCESS_WEIGHT)
                 ? 0
                 : FAILURE_WEIGHT * Math.max(0, bestSuccess - copy.success(now));
     }
 
-    private double slowness(Copy copy, double usualSeconds) {
-        if (without.contains(Mechanism.COPY_SPEED) || copy.workSeconds() == 0 || usualSeconds == 0) {
+    private double slownessPenalty(Copy copy, double meanWorkSeconds) {
+        if (without.contains(Mechanism.COPY_SPEED) || copy.workSeconds() == 0 || meanWorkSeconds == 0) {
             return SPEED_WEIGHT;
         }
-        return SPEED_WEIGHT * Math.min(MOST_SLOWNESS, copy.workSeconds() / usualSeconds);
+        return SPEED_WEIGHT * Math.min(MAXIMUM_SLOWNESS, copy.workSeconds() / meanWorkSeconds);
     }
 
-    private double nearness(Copy copy, double idlePart, double answerBytes) {
+    private double nearnessGain(Copy copy, double idlePart, double answerBytes) {
         if (without.contains(Mechanism.NEARNESS) || !copy.record().zone().equals(zone)) {
             return 0;
         }
         double gain = copy.node().equals(self) ? LOCAL_GAIN : ZONE_GAIN;
-        return gain + idlePart * ZONE_GAIN_WHEN_IDLE * (1 + answerBytes / BYTES_THAT_DOUBLE_IT);
+        return gain + idlePart * ZONE_GAIN_WHEN_IDLE * (1 + answerBytes / ZONE_GAIN_DOUBLING_BYTES);
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyGate.java
@@ -16,35 +16,35 @@
 import org.carawaysill.policy.time.Nanos;
 
 /**
- * The one queue in front of the local copy: at most as many requests as the copy has slots are at it, the others wait here
- * in the order in which they matter.
+ * The admission queue in front of the local copy. At most as many requests run as the copy has slots; the others wait
+ * here in order of priority.
  *
- * <p>Guards against work that piles up inside the copy, where it can't be ordered or taken back: it shows as important
- * requests that time out behind unimportant ones, and as a copy that sheds. Invariants: never more at the copy than the
- * limit; a request is refused only while no less important one waits. Not thread safe: owned by the policy.
+ * <p>Guards against requests that pile up inside the copy, where they can be neither reordered nor withdrawn: important
+ * ones then time out behind unimportant ones, and the copy sheds. Invariants: never more requests run than the limit; a
+ * request is refused only while no less important one waits. Not thread safe: owned by the policy.
  */
 public final class CopyGate {
 
-    /** What may wait for each slot: with two, the last of the queue waits about two usual service times. */
-    private static final int QUEUED_FOR_EACH_SLOT = 2;
+    /** How many requests may wait for each slot: the last of the queue then waits about two usual service times. */
+    private static final int QUEUED_PER_SLOT = 2;
 
-    /** Room for a burst at a copy with few slots. */
-    private static final int LEAST_QUEUE = 16;
+    /** The least length of the queue, which absorbs a burst at a copy with few slots. */
+    private static final int MINIMUM_QUEUE_LENGTH = 16;
 
-    /** The limit before anything is published of the copy: low, since it is not known what it can do. */
+    /** The limit before a record of the copy is published: low, since its capacity is unknown. */
     private static final int UNKNOWN_LIMIT = 4;
 
     private static final double SERVICE_TIME_WEIGHT = 0.05;
 
     /**
-     * What is left of the slots, at the least, where the copy refuses although some should be free: it may still work on
-     * what a process before this one handed to it, or shed for reasons of its own. Below half, a copy that sheds at random
-     * would hardly be used, although each slot of it still works.
+     * The limit is not lowered below this part of the slots when the copy refuses although slots should be free: it may
+     * still work on requests of an earlier node process, or shed for reasons of its own. Below half, a copy that sheds
+     * at random would hardly be used, although each of its slots still works.
      */
-    private static final double LEAST_USED_PART = 0.5;
+    private static final double MINIMUM_USED_PART = 0.5;
 
-    /** How much of a slot is tried again with each good answer. */
-    private static final double RECOVERY = 0.2;
+    /** By how much of a slot each answer raises a lowered limit. */
+    private static final double LIMIT_RECOVERY = 0.2;
 
     private final Map<AttemptIdentifier, LocalRun> runs = new HashMap<>();
     private final Comparator<LocalRun> order;
@@ -58,9 +58,9 @@
     private double serviceNanos;
 
     /**
-     * Opens a gate in front of a copy of which nothing is known.
+     * Creates a gate in front of a copy whose record is still unknown.
      *
-     * @param without what is switched off
+     * @param without the mechanisms that are switched off
      */
     public CopyGate(Set<Mechanism> without) {
         order = without.contains(Mechanism.OLDEST_FIRST) ? LocalRun.DEEPEST_FIRST : LocalRun.OLDEST_FIRST;
@@ -69,38 +69,38 @@
         nearFull.reset(0, slots);
     }
 
-    /** How a request at the copy, or in front of it, ended. */
+    /** How a running or waiting request ended. */
     public enum Ending {
-        /** The copy did what it was asked: its time says how fast the copy is. */
+        /** The copy fulfilled the request: its duration shows how fast the copy is. */
         DONE,
-        /** The copy answered with a failure: its time was taken, and says nothing of the copy's speed. */
+        /** The copy answered with a failure: its slot was used, which does not show how fast the copy is. */
         FAILED,
-        /** It was not answered: its time at the copy is not known. */
+        /** The request ended without an answer: how long it used the slot is unknown. */
         BROKEN_OFF
     }
 
-    /** What became of a request offered to the gate. Immutable and thread safe. */
+    /** The result of offering a request to the gate. Immutable and thread safe. */
     public sealed interface Offered {
 
-        /** It has a slot. */
+        /** The request was started and has a slot. */
         record Started() implements Offered {}
 
         /**
-         * It waits.
+         * The request waits in the queue.
          *
-         * @param evicted a less important request that lost its place to it
+         * @param evicted a less important request that lost its place in the queue to this one
          */
         record Waits(Optional<LocalRun> evicted) implements Offered {}
 
-        /** There is no room, and nothing less important waits. */
+        /** The queue is full, and no less important request waits. */
         record Full() implements Offered {}
 
-        /** It could not be finished in time. */
+        /** The deadline of the request has passed. */
         record TooLate() implements Offered {}
     }
 
     /**
-     * Sets how many requests may be at the copy.
+     * Sets how many requests may run at the copy.
      *
      * @param now the monotonic time
      * @param published the copy's slots
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Notes that the copy was started anew: what the earlier process did says nothing of this one.
+     * Notes that the copy was restarted, and discards what was measured of its earlier process.
      *
      * @param now the monotonic time
      */
@@ -124,41 +124,41 @@
     }
 
     /**
-     * Notes that the copy refused a request although it should have had a slot.
+     * Notes that the copy refused a request although a slot should have been free, and lowers the limit.
      *
-     * <p>One that refuses with half of its slots free does so for other reasons than that they are taken, and fewer requests
-     * would not lead to fewer refusals: it gets as many as before.
+     * <p>A copy that refuses with half of its slots free has another reason, and fewer requests would not lead to fewer
+     * refusals: the limit returns to all slots.
      */
     public void refused() {
-        double least = Math.max(1, slots * LEAST_USED_PART);
+        double least = Math.max(1, slots * MINIMUM_USED_PART);
         limit = limit <= least ? slots : Math.max(least, Math.min(limit, running) - 1);
     }
 
-    /** Notes that the copy gave an answer. */
+    /** Notes that the copy answered, and raises a lowered limit. */
     public void answered() {
-        limit = Math.min(slots, limit + RECOVERY);
+        limit = Math.min(slots, limit + LIMIT_RECOVERY);
     }
 
-    private int usable(long now) {
+    private int effectiveLimit(long now) {
         return Math.max(1, Math.min((int) limit, nearFull.limit(now)));
     }
 
     /**
-     * Offers a request.
+     * Offers a request: starts it, queues it or refuses it.
      *
      * @param now the monotonic time
      * @param run the request
-     * @return what became of it
+     * @return the result
      */
     public Offered offer(long now, LocalRun run) {
         if (run.deadlineNanos() <= now) {
             return new Offered.TooLate();
         }
-        if (running < usable(now)) {
+        if (running < effectiveLimit(now)) {
             start(now, run);
             return new Offered.Started();
         }
-        if (queue.size() < Math.max(LEAST_QUEUE, slots * QUEUED_FOR_EACH_SLOT)) {
+        if (queue.size() < Math.max(MINIMUM_QUEUE_LENGTH, slots * QUEUED_PER_SLOT)) {
             enqueue(run);
             return new Offered.Waits(Optional.empty());
         }
@@ -172,13 +172,13 @@
     }
 
     /**
-     * Receives a request that is suspected to crash copies: it waits until it may run beside few other suspects.
+     * Queues a request that is suspected to crash copies until it may run beside few other suspects.
      *
      * @param run the request
-     * @return whether there was room for it
+     * @return whether the queue of suspects had room for it
      */
     public boolean hold(LocalRun run) {
-        if (suspects.waiting().size() >= Math.max(LEAST_QUEUE, slots * QUEUED_FOR_EACH_SLOT)) {
+        if (suspects.waiting().size() >= Math.max(MINIMUM_QUEUE_LENGTH, slots * QUEUED_PER_SLOT)) {
             return false;
         }
         runs.put(run.request().attempt(), run);
@@ -187,16 +187,16 @@
     }
 
     /**
-     * Lets no suspected request go to the copy before a moment.
+     * Starts no suspected request before the given time.
      *
      * @param nanos the monotonic time
      */
     public void settleSuspectsUntil(long nanos) {
-        suspects.settleUntil(nanos);
+        suspects.delayUntil(nanos);
     }
 
     /**
-     * Notes that a request at the copy is suspected to crash copies, and was not when it was handed over.
+     * Notes that a running request, which was not suspected when it was started, now is.
      *
      * @param run the request
      */
@@ -205,7 +205,7 @@
     }
 
     /**
-     * Takes out all that was not handed to the copy.
+     * Removes all requests that were not sent to the copy.
      *
      * @return the requests, to be offered again or refused
      */
@@ -240,7 +240,7 @@
     }
 
     /**
-     * Finds a request that waits or runs.
+     * Finds a waiting or running request.
      *
      * @param attempt its attempt
      * @return the request
@@ -250,7 +250,7 @@
     }
 
     /**
-     * Releases the slot of a finished request, or the place of a waiting one.
+     * Releases the slot of a request that ran, or the place in the queue of one that waited.
      *
      * @param now the monotonic time
      * @param run the request
@@ -264,14 +264,14 @@
                 double took = now - run.startedNanos();
                 run.times().add(run.request().service(), took / Nanos.PER_SECOND);
                 if (ending == Ending.DONE) {
-                    learnWork(now, run);
+                    recordWorkTime(now, run);
                 }
                 serviceNanos += serviceNanos == 0 ? took : SERVICE_TIME_WEIGHT * (took - serviceNanos);
             }
         }
     }
 
-    private void learnWork(long now, LocalRun run) {
+    private void recordWorkTime(long now, LocalRun run) {
         long nanos = run.ownNanos(now);
         workTime.add(now, nanos);
         NearFullLimit.WorkKind kind = new NearFullLimit.WorkKind(
@@ -280,15 +280,15 @@
     }
 
     /**
-     * Starts the requests for which there is a slot now.
+     * Starts waiting requests while slots are free.
      *
      * @param now the monotonic time
-     * @return the requests, to be handed to the copy
+     * @return the requests, to be sent to the copy
      */
     public List<LocalRun> startNext(long now) {
         queue.addAll(suspects.release(now));
         List<LocalRun> started = new ArrayList<>();
-        while (running < usable(now) && !queue.isEmpty()) {
+        while (running < effectiveLimit(now) && !queue.isEmpty()) {
             LocalRun next = queue.poll();
             start(now, next);
             started.add(next);
@@ -297,11 +297,11 @@
     }
 
     /**
-     * Takes out what can't be finished in time any more.
+     * Removes the waiting requests that can no longer be answered in time.
      *
      * @param now the monotonic time
-     * @param margin how long an answer takes back to the client
-     * @return the requests, none of which was handed to the copy
+     * @param margin the time that an answer takes to reach the client
+     * @return the requests, none of which was sent to the copy
      */
     public List<LocalRun> takeOverdue(long now, long margin) {
         if (nextOverdueNanos(margin) > now) {
@@ -315,10 +315,10 @@
     }
 
     /**
-     * Returns when the first waiting request is overdue.
+     * Returns when the first waiting request becomes overdue.
      *
-     * @param margin how long an answer takes back to the client
-     * @return the monotonic time, {@link Long#MAX_VALUE} where none waits
+     * @param margin the time that an answer takes to reach the client
+     * @return the monotonic time, {@link Long#MAX_VALUE} if none waits
      */
     public long nextOverdueNanos(long margin) {
         return Math.min(firstOverdueNanos(queue, margin), firstOverdueNanos(suspects.waiting(), margin));
@@ -333,9 +333,9 @@
     }
 
     /**
-     * Returns when suspects may be let through although others are still at the copy.
+     * Returns when waiting suspects may be started although other suspects still run.
      *
-     * @return the monotonic time, {@link Long#MAX_VALUE} where none waits for that
+     * @return the monotonic time, {@link Long#MAX_VALUE} if no suspect waits for that
      */
     public long nextReleaseNanos() {
         return suspects.nextNanos();
@@ -345,43 +345,43 @@
      * Returns the present load.
      *
      * @param now the monotonic time
-     * @return requests at the copy and waiting, and the limit
+     * @return the running and the waiting requests, and the limit
      */
     public LoadReport load(long now) {
-        return new LoadReport(running, usable(now), queue.size(), 0);
+        return new LoadReport(running, effectiveLimit(now), queue.size(), 0);
     }
 
     /**
-     * Returns how long the copy lately took for a request, without its calls.
+     * Returns the mean time that the copy recently took for a request, without its own calls.
      *
      * @param now the monotonic time
-     * @return seconds, 0 where it is not known
+     * @return seconds, 0 while unknown
      */
     public double workSeconds(long now) {
         return workTime.seconds(now);
     }
 
     /**
-     * Estimates how long a newcomer waits.
+     * Estimates how long a new request would wait.
      *
      * @param now the monotonic time
      * @return nanoseconds
      */
     public long expectedWaitNanos(long now) {
-        return (long) (serviceNanos * queue.size() / usable(now));
+        return (long) (serviceNanos * queue.size() / effectiveLimit(now));
     }
 
     /**
-     * Returns whether nothing waits or runs.
+     * Returns whether no request waits or runs.
      *
-     * @return whether it is empty
+     * @return whether the gate is empty
      */
     public boolean isEmpty() {
         return runs.isEmpty();
     }
 
     /**
-     * Returns all that waits or runs.
+     * Returns all waiting and running requests.
      *
      * @return the requests
      */
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyTable.java
@@ -19,42 +19,43 @@
 /**
  * The published copies, by service.
  *
- * <p>Invariants: a copy that is draining or gone is not among those that may get work; of two copies with one address only
- * the newer may, since an address is used again after its copy has ended; a copy of a service that the configuration doesn't
- * name is as if it weren't published. Not thread safe: owned by the policy.
+ * <p>Invariants: a copy that is draining or gone is not usable; of two copies with one address only the newer is
+ * usable, since an address is reused after its copy has ended; a copy of a service that the configuration doesn't name
+ * is treated as if it weren't published. Not thread safe: owned by the policy.
  */
 public final class CopyTable {
 
     private final Map<String, Copy> byKey = new HashMap<>();
-    private Optional<Set<ServiceName>> named = Optional.empty();
+    private Optional<Set<ServiceName>> configuredServices = Optional.empty();
     private final Map<ServiceName, List<Copy>> usable = new HashMap<>();
 
     /**
-     * Receives which services there are. Guards against an entry of another writer that has the address of a living copy:
-     * it would take the copy's place, and its slots and state would hold for it.
+     * Sets the services that exist. Guards against an entry of another writer that has the address of a running copy:
+     * without this filter it would replace that copy, and its slots and state would be applied to it.
      *
      * @param services the services that the configuration in force names
      */
     public void named(Set<ServiceName> services) {
-        named = Optional.of(services);
+        configuredServices = Optional.of(services);
         rebuild();
     }
 
-    private boolean isNamed(Copy copy) {
-        return named.isEmpty() || named.get().contains(copy.record().service());
+    private boolean isConfigured(Copy copy) {
+        return configuredServices.isEmpty()
+                || configuredServices.get().contains(copy.record().service());
     }
 
-    private Stream<Copy> namedCopies() {
-        return byKey.values().stream().filter(this::isNamed);
+    private Stream<Copy> configuredCopies() {
+        return byKey.values().stream().filter(this::isConfigured);
     }
 
     /**
-     * Receives what is published of a copy. Of a start before the one that is known nothing is taken in: it was written
-     * late. All that was known of an earlier start is void.
+     * Takes in the published record of a copy. Ignores a record of a start before the known one, because it was written
+     * late. A record of a later start replaces all that was known of the copy.
      *
      * @param now the monotonic time
      * @param key the entry's key
-     * @param record what is published
+     * @param record the published record
      * @param revision the entry's revision
      * @return the copy, if more than its heartbeat changed
      */
@@ -69,9 +70,9 @@
             rebuild();
             return Optional.of(copy);
         }
-        boolean back = copy.keep();
+        boolean reappeared = copy.keep();
         boolean changed = copy.update(record, now);
-        if (changed || back) {
+        if (changed || reappeared) {
             rebuild();
             return Optional.of(copy);
         }
@@ -83,7 +84,7 @@
      *
      * @param now the monotonic time
      * @param key the entry's key
-     * @param goneNanos from when on the copy counts as gone, unless its entry is back before
+     * @param goneNanos when the copy counts as gone, unless its entry reappears before
      * @return the copy, if it is gone at once
      */
     public Optional<Copy> remove(long now, String key, long goneNanos) {
@@ -99,10 +100,10 @@
     }
 
     /**
-     * Drops the copies whose entries did not come back in time.
+     * Drops the copies whose entries did not reappear in time.
      *
      * @param now the monotonic time
-     * @return the copies that are gone, by the keys of their entries
+     * @return the dropped copies, by the keys of their entries
      */
     public Map<String, Copy> dropMissing(long now) {
         Map<String, Copy> gone = new HashMap<>();
@@ -123,10 +124,10 @@
     }
 
     /**
-     * Returns whether an entry's copy is missing, but not yet gone.
+     * Returns whether the entry of a known copy is missing while the copy doesn't count as gone yet.
      *
      * @param key the entry's key
-     * @return whether its entry may still come back
+     * @return whether the entry may still reappear
      */
     public boolean isMissing(String key) {
         Copy copy = byKey.get(key);
@@ -136,7 +137,7 @@
     private void rebuild() {
         usable.clear();
         Map<NetworkAddress, Copy> newest = new HashMap<>();
-        namedCopies()
+        configuredCopies()
                 .forEach(copy -> newest.merge(
                         copy.record().address(), copy, (one, other) -> one.isNewerThan(other) ? one : other));
         for (Copy copy : newest.values()) {
@@ -148,7 +149,7 @@
     }
 
     /**
-     * Returns the copies of a service that may get work.
+     * Returns the copies of a service that may receive requests.
      *
      * @param service the service
      * @return the copies
@@ -158,7 +159,7 @@
     }
 
     /**
-     * Returns the copies of all services that may get work.
+     * Returns the copies of all services that may receive requests.
      *
      * @return the copies
      */
@@ -169,37 +170,37 @@
     /**
      * Finds the newest copy at an address.
      *
-     * @param address where it listens
+     * @param address the address at which it listens
      * @return the copy
      */
     public Optional<Copy> at(NetworkAddress address) {
-        return namedCopies()
+        return configuredCopies()
                 .filter(copy -> copy.record().address().equals(address))
                 .reduce((one, other) -> one.isNewerThan(other) ? one : other);
     }
 
     /**
-     * Returns all published copies.
+     * Returns all published copies of services that the configuration names.
      *
      * @return the copies
      */
     public List<Copy> all() {
-        return namedCopies().toList();
+        return configuredCopies().toList();
     }
 
     /**
      * Returns the published copies beside a node.
      *
      * @param node the node
-     * @return the copies: more than one while an address is used again
+     * @return the copies: more than one while an address is being reused
      */
     public List<Copy> beside(NodeName node) {
-        return namedCopies().filter(copy -> copy.node().equals(node)).toList();
+        return configuredCopies().filter(copy -> copy.node().equals(node)).toList();
     }
 
     /**
-     * Returns all published copies, those of services that the configuration doesn't name included. They get no work, but
-     * the nodes beside them take requests like any other.
+     * Returns all published copies, including those of services that the configuration doesn't name. Such copies
+     * receive no requests, but the nodes beside them accept requests as any other node does.
      *
      * @return a view of the copies
      */
@@ -208,9 +209,10 @@
     }
 
     /**
-     * Returns the IP numbers of the VMs of all copies, those of services that the configuration doesn't name included.
+     * Returns the IP addresses of the VMs of all copies, including those of services that the configuration doesn't
+     * name.
      *
-     * @return the IP numbers
+     * @return the IP addresses
      */
     public Set<String> hosts() {
         Set<String> hosts = new HashSet<>();
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/LocalRun.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/LocalRun.java
@@ -9,25 +9,29 @@
 import org.carawaysill.policy.message.PeerMessage.CopyRequest;
 
 /**
- * A request for the local copy, from its arrival until its answer.
+ * A request for the local copy, from its arrival at this node until its answer.
  *
  * <p>Not thread safe: owned by the policy.
  */
 public final class LocalRun {
 
     /**
-     * What matters most first; of equals, what its caller asked for first.
+     * Orders by rank, the most important first; within a rank by the arrival of the root request, the oldest first.
      *
-     * <p>A request that makes a dozen calls in a row passes this queue with each of them, and each wait counts against the one
-     * time limit of the whole. In the order of arrival all chains wait alike, and where the queue stands, hardly any ends in
-     * time; so the chains that are nearest to their end go first, and the wait is left to those that have just begun. On the
-     * site of 95 nodes in virtual time, 0.77 in place of 0.69 of what is owed ends within its aim at 1.7 times the usual load
-     * (lookups 0.30 in place of 0.05), and 0.89 in place of 0.86 at the usual one.
+     * <p>A root request that makes a dozen calls in sequence passes this queue with each of them, and each wait counts
+     * against its one time limit. If all chains wait equally, as in the order of arrival, hardly any completes in time
+     * under overload. Serving the oldest root request first lets the chains that are nearest to completion finish, and
+     * the wait falls on those that have just begun. For the site of 95 nodes in virtual time, 0.77 instead of 0.69 of
+     * the requests that should be served complete within their target time at 1.7 times the usual load (lookups 0.30
+     * instead of 0.05), and 0.89 instead of 0.86 at the usual load.
      */
     static final Comparator<LocalRun> OLDEST_FIRST =
             Comparator.<LocalRun>comparingInt(run -> run.request.rank()).thenComparingLong(run -> run.rootArrivedNanos);
 
-    /** What it is without {@link Mechanism#OLDEST_FIRST}. */
+    /**
+     * The order without {@link Mechanism#OLDEST_FIRST}: by rank, then the deepest call first, then the earliest
+     * deadline first.
+     */
     static final Comparator<LocalRun> DEEPEST_FIRST = Comparator.<LocalRun>comparingInt(run -> run.request.rank())
             .thenComparingInt(run -> -run.request.depth())
             .thenComparingLong(run -> run.deadlineNanos);
@@ -41,17 +45,17 @@
     private long startedNanos;
     private int runningAtStart;
     private int openCalls;
-    private long callsBeganNanos;
+    private long callsStartedNanos;
     private long callsNanos;
     private boolean running;
     private Optional<Fingerprint> suspected = Optional.empty();
-    private boolean alone;
+    private boolean runsAlone;
 
     /**
-     * Makes a request that has just arrived.
+     * Creates a run for a request that has just arrived.
      *
      * @param request the request
-     * @param sender the node that sent it, empty for this one
+     * @param sender the node that sent it, empty for this node
      * @param now the monotonic time
      */
     public LocalRun(CopyRequest request, Optional<NodeName> sender, long now) {
@@ -72,25 +76,25 @@
     }
 
     /**
-     * Returns who is to be answered.
+     * Returns the node that receives the answer.
      *
-     * @return the node that sent it, empty for this one
+     * @return the node that sent the request, empty for this node
      */
     public Optional<NodeName> sender() {
         return sender;
     }
 
     /**
-     * Returns when the caller's request arrived behind which it is made.
+     * Returns when the root request, on whose behalf this request is made, arrived at its entry node.
      *
-     * @return the monotonic time on this node, but for the time that messages were on their way
+     * @return the monotonic time of this node; messages' transit times are not accounted for
      */
     public long rootArrivedNanos() {
         return rootArrivedNanos;
     }
 
     /**
-     * Returns when it arrived.
+     * Returns when the request arrived at this node.
      *
      * @return the monotonic time
      */
@@ -99,7 +103,7 @@
     }
 
     /**
-     * Returns until when its answer is of use.
+     * Returns the deadline after which the answer is of no use.
      *
      * @return the monotonic time
      */
@@ -108,94 +112,94 @@
     }
 
     /**
-     * Notes what is known of it: copies crashed while they ran it.
+     * Marks the request as suspected, because copies crashed while they ran requests with its fingerprint.
      *
-     * @param fingerprint what it has in common with its other tries
-     * @param mustRunAlone whether no other suspect may be at the copy with it
+     * @param fingerprint the fingerprint that it shares with its other attempts
+     * @param mustRunAlone whether no other suspected request may run at the copy at the same time
      */
     public void suspect(Fingerprint fingerprint, boolean mustRunAlone) {
         suspected = Optional.of(fingerprint);
-        alone = mustRunAlone;
+        runsAlone = mustRunAlone;
     }
 
-    /** Notes that it is not suspected any more. */
+    /** Marks the request as not suspected. */
     public void clear() {
         suspected = Optional.empty();
-        alone = false;
+        runsAlone = false;
     }
 
     /**
-     * Returns whether it was known to be suspected before it was handed to the copy.
+     * Returns the fingerprint under which the request is suspected.
      *
-     * @return its fingerprint, where it was
+     * @return the fingerprint, empty if the request is not suspected
      */
     public Optional<Fingerprint> suspected() {
         return suspected;
     }
 
     boolean mustRunAlone() {
-        return alone;
+        return runsAlone;
     }
 
-    void start(long now, int withItself) {
+    void start(long now, int runningIncludingThis) {
         running = true;
         startedNanos = now;
-        runningAtStart = withItself;
+        runningAtStart = runningIncludingThis;
     }
 
-    /** Returns how many requests were at the copy when this one was handed to it, itself included. */
+    /** Returns how many requests ran at the copy when this one was started, itself included. */
     int runningAtStart() {
         return runningAtStart;
     }
 
     /**
-     * Notes that the copy makes a call for it.
+     * Notes that the copy began a call on behalf of this request.
      *
      * @param now the monotonic time
      */
     public void callBegan(long now) {
         if (openCalls++ == 0) {
-            callsBeganNanos = now;
+            callsStartedNanos = now;
         }
     }
 
     /**
-     * Notes that a call that the copy made for it has ended.
+     * Notes that a call on behalf of this request ended.
      *
      * @param now the monotonic time
      */
     public void callEnded(long now) {
         if (--openCalls == 0) {
-            callsNanos += now - callsBeganNanos;
+            callsNanos += now - callsStartedNanos;
         }
     }
 
-    /** Returns the time at the copy in which no call was under way. */
+    /** Returns the time since the start in which none of the request's calls was in progress. */
     long ownNanos(long now) {
-        long open = openCalls > 0 ? now - callsBeganNanos : 0;
+        long open = openCalls > 0 ? now - callsStartedNanos : 0;
         return Math.max(0, now - startedNanos - callsNanos - open);
     }
 
     /**
-     * Returns whether it was handed to the copy.
+     * Returns whether the request was sent to the copy and has a slot.
      *
-     * @return whether it has a slot
+     * @return whether it runs
      */
     public boolean isRunning() {
         return running;
     }
 
     /**
-     * Returns the slots' time that the calls of this request took so far.
+     * Returns the slot time that the calls of this request have taken so far.
      *
-     * @return the times, to be added to
+     * @return the times, which the caller may add to
      */
     public SlotTimes times() {
         return times;
     }
 
     /**
-     * Returns when it was handed to the copy.
+     * Returns when the request was sent to the copy.
      *
      * @return the monotonic time, 0 while it waits
      */
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/NearFullLimit.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/NearFullLimit.java
@@ -5,79 +5,91 @@
 import java.util.Map;
 
 /**
- * Learns whether the copy does more with its last slots free than with all of them taken.
+ * Learns whether the copy finishes more requests when a twentieth of its slots stays free than when all of them are in
+ * use.
  *
- * <p>Guards against a copy that slows down when it is nearly full, which shows under overload as a service that finishes a
- * fifth less than its slots allow, while all of them are busy: its work then takes longer by more than the last slots add.
- * Times of work are compared with the mean for work of the same kind, once for work that began in the last slots and once
- * for all other work. At 2.3 times the usual load in virtual time, copies that slow down by 1.3 with less than a twentieth of
- * their slots free then serve 0.85 in place of 0.76 of the requests within their aim.
+ * <p>Guards against a copy that slows down when it is nearly full: the time of each request grows by more than the last
+ * slots add in concurrency. Under overload, this shows as a service that finishes a fifth less than its slots allow
+ * although all of them are busy. The time of each request is divided by the mean for requests of the same kind; the
+ * quotients are averaged separately for requests that began in the last slots and for all others. At 2.3 times the
+ * usual load in virtual time, copies that slow down by a factor of 1.3 with less than a twentieth of their slots free
+ * serve 0.85 of the requests within their target time with this limit, and 0.76 without it.
  *
- * <p>Invariant: the limit is the copy's slots, or a twentieth less. Not thread safe: owned by the policy.
+ * <p>Invariant: the limit is the number of the copy's slots, or about a twentieth less, but at least 1. Not thread
+ * safe: owned by the policy.
  */
 final class NearFullLimit {
 
-    /** From this part of its slots on a copy counts as nearly full: fewer free ones can't be told from clumps. */
+    /**
+     * A copy counts as nearly full above this part of its slots. With fewer slots left free, the effect cannot be
+     * distinguished from random bunching of requests.
+     */
     private static final double NEARLY_FULL_PART = 0.95;
 
-    /** With a spread of times of about half their mean, so many tell a difference of a fifth from none. */
-    private static final int ENOUGH_TIMES = 150;
+    /**
+     * The least number of samples on each side of the comparison. If the standard deviation of times is about half
+     * their mean, so many distinguish a difference of a fifth from none.
+     */
+    private static final int MINIMUM_SAMPLES = 150;
 
-    /** With fewer, the usual time for a kind of work is not known. */
-    private static final int FEW_TIMES = 20;
+    /** The least number of samples before the mean time for a kind of request is used. */
+    private static final int MINIMUM_SAMPLES_OF_KIND = 20;
 
-    /** Bounds the memory where operators rename routes all day. */
-    private static final int MOST_KINDS = 1024;
+    /** Bounds the memory where operators rename routes frequently. */
+    private static final int MAXIMUM_KINDS = 1024;
 
-    /** The weight of one more time: the last two hundred or so count. */
-    private static final double TIME_WEIGHT = 0.005;
+    /** The weight of one more sample in the moving averages, which cover about the last two hundred. */
+    private static final double SAMPLE_WEIGHT = 0.005;
 
-    /** Before enough is known, the last slots are used and left free in turn for so long. */
-    private static final long SLICE_NANOS = Duration.ofMillis(200).toNanos();
+    /** While there are too few samples, the last slots are used and left free in turn, for this long each. */
+    private static final long ALTERNATION_NANOS = Duration.ofMillis(200).toNanos();
 
-    /** How often slots that are left free are tried again, since copies change. */
+    /** How often the last slots are tried again while they are left free, since the copy may have changed. */
     private static final long TRIAL_INTERVAL_NANOS = Duration.ofSeconds(15).toNanos();
 
-    /** How long they are tried. */
+    /** The length of such a trial. */
     private static final long TRIAL_NANOS = Duration.ofMillis(500).toNanos();
 
     private final boolean enabled;
-    private final Map<WorkKind, Average> usual = new HashMap<>();
+    private final Map<WorkKind, Average> meanByKind = new HashMap<>();
     private Average nearFull = new Average();
     private Average otherwise = new Average();
     private int slots = 1;
     private long resetNanos;
 
-    /** Work whose times can be compared: calls of one depth for requests of one route. Immutable and thread safe. */
+    /**
+     * Requests whose times can be compared: calls at the same depth on behalf of the same root route. Immutable and
+     * thread safe.
+     */
     record WorkKind(String rootRoute, int depth) {}
 
     NearFullLimit(boolean enabled) {
         this.enabled = enabled;
     }
 
-    /** Receives how many slots the copy has, or that it was started anew. */
+    /** Sets the number of slots of the copy, or notes its restart, and discards all samples. */
     void reset(long now, int newSlots) {
         slots = newSlots;
         nearFull = new Average();
         otherwise = new Average();
-        usual.clear();
+        meanByKind.clear();
         resetNanos = now;
     }
 
-    private int reduced() {
+    private int reducedLimit() {
         return Math.max(1, (int) Math.ceil(NEARLY_FULL_PART * slots) - 1);
     }
 
-    /** Returns how many requests may be at the copy. */
+    /** Returns how many requests may run at the copy at once. */
     int limit(long now) {
-        return enabled && isReduced(now) ? reduced() : slots;
+        return enabled && isReduced(now) ? reducedLimit() : slots;
     }
 
     private boolean isReduced(long now) {
-        if (nearFull.count < ENOUGH_TIMES || otherwise.count < ENOUGH_TIMES) {
-            return (now - resetNanos) / SLICE_NANOS % 2 == 0;
+        if (nearFull.count < MINIMUM_SAMPLES || otherwise.count < MINIMUM_SAMPLES) {
+            return (now - resetNanos) / ALTERNATION_NANOS % 2 == 0;
         }
-        boolean slower = nearFull.mean * reduced() > otherwise.mean * slots;
+        boolean slower = nearFull.mean * reducedLimit() > otherwise.mean * slots;
         return slower && !isTrial(now);
     }
 
@@ -86,22 +98,22 @@
     }
 
     /**
-     * Learns from a request that was answered.
+     * Adds a sample of an answered request.
      *
-     * @param kind what it was
-     * @param nanos how long the copy worked on it, without the time of its calls
-     * @param running how many were at the copy when it began, itself included
+     * @param kind the kind of the request
+     * @param nanos how long the copy worked on it, without the time of its own calls
+     * @param running how many requests ran at the copy when it began, itself included
      */
     void answered(WorkKind kind, long nanos, int running) {
-        if (usual.size() >= MOST_KINDS) {
-            usual.clear();
+        if (meanByKind.size() >= MAXIMUM_KINDS) {
+            meanByKind.clear();
         }
-        Average known = usual.computeIfAbsent(kind, _ -> new Average());
+        Average known = meanByKind.computeIfAbsent(kind, _ -> new Average());
         known.add(nanos);
-        if (known.count < FEW_TIMES || known.mean <= 0) {
+        if (known.count < MINIMUM_SAMPLES_OF_KIND || known.mean <= 0) {
             return;
         }
-        Average average = running > reduced() ? nearFull : otherwise;
+        Average average = running > reducedLimit() ? nearFull : otherwise;
         average.add(nanos / known.mean);
     }
 
@@ -112,7 +124,7 @@
 
         void add(double value) {
             count++;
-            mean += Math.max(TIME_WEIGHT, 1.0 / count) * (value - mean);
+            mean += Math.max(SAMPLE_WEIGHT, 1.0 / count) * (value - mean);
         }
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/SuspectQueue.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/SuspectQueue.java
@@ -11,35 +11,43 @@
 import org.carawaysill.model.request.Fingerprint;
 
 /**
- * Requests that are suspected to crash copies, in front of the one copy at which they may run.
+ * Queues requests that are suspected to crash copies in front of the copy beside this node, the only one where they may
+ * run.
  *
- * <p>They run a few at a time, at best one: if the copy crashes, the request that ran alone is known to be the cause, and if
- * it answers, that request is cleared. With all of them at once the next crash would tell nothing. Invariants: no two with
- * one fingerprint are at the copy; one that must run alone has no other suspect beside it; none goes to the copy before copies
- * that may end together have ended. Not thread safe: owned by the policy.
+ * <p>They are started in small groups, at best one by one: if the copy crashes, a request that ran alone is known to be
+ * the cause, and if it answers, that request is cleared. If all ran at once, the next crash would not show which one
+ * caused it. Invariants: no two requests with one fingerprint run at the same time; a request that must run alone runs
+ * beside no other suspect; none is started before the crashes of copies that may end together have been observed. Not
+ * thread safe: owned by the policy.
  */
 final class SuspectQueue {
 
-    /** In how many groups, one after the other, those that wait are let through: each waits for some service times. */
+    /**
+     * The number of groups in which the waiting requests are started, one group after another: each request waits for a
+     * few service times.
+     */
     private static final int GROUPS = 8;
 
-    /** A suspect that works for longer than this holds up no others, but for those that must run alone. */
-    private static final long LONGEST_TURN_NANOS = Duration.ofSeconds(1).toNanos();
+    /**
+     * A group that runs for longer than this no longer blocks other suspects, except where one of them must run alone.
+     */
+    private static final long GROUP_TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final List<LocalRun> waiting = new ArrayList<>();
     private final List<LocalRun> group = new ArrayList<>();
     private int groupsLeft = GROUPS;
     private long groupStartedNanos;
-    private long settledNanos = Long.MIN_VALUE;
+    private long earliestStartNanos = Long.MIN_VALUE;
 
     void add(LocalRun run) {
         waiting.add(run);
     }
 
     /**
-     * Notes that a request at the copy is suspected that was not when it began: others wait for its end.
+     * Adds a running request, which was not suspected when it began, to the running group, so that waiting suspects
+     * wait for its end.
      *
-     * <p>If the copy crashed under it and another suspect, either could be the cause.
+     * <p>If the copy crashed while it and another suspect ran, either could be the cause.
      */
     void join(LocalRun run) {
         if (!group.contains(run)) {
@@ -50,41 +58,46 @@
         }
     }
 
-    /** Forgets one that was answered, refused or given up. */
+    /** Removes a request that was answered, refused or abandoned. */
     void remove(LocalRun run) {
         group.remove(run);
         waiting.remove(run);
     }
 
-    /** Those that wait; a view, which changes with this queue. */
+    /** Returns the waiting requests, as a view that changes with this queue. */
     List<LocalRun> waiting() {
         return Collections.unmodifiableList(waiting);
     }
 
-    /** Lets none go to the copy before a moment. */
-    void settleUntil(long nanos) {
-        settledNanos = nanos;
+    /** Starts no request before the given time. */
+    void delayUntil(long nanos) {
+        earliestStartNanos = nanos;
     }
 
-    /** When others may go on beside those that are at the copy, {@link Long#MAX_VALUE} where none waits for that. */
+    /**
+     * Returns when waiting requests may be started beside the running ones, {@link Long#MAX_VALUE} if none waits for
+     * that.
+     */
     long nextNanos() {
         if (waiting.isEmpty()) {
             return Long.MAX_VALUE;
         }
         if (group.isEmpty()) {
-            return settledNanos;
+            return earliestStartNanos;
         }
-        return mayShare(nextGroup()) ? Math.max(settledNanos, groupStartedNanos + LONGEST_TURN_NANOS) : Long.MAX_VALUE;
+        return mayRunTogether(nextGroup())
+                ? Math.max(earliestStartNanos, groupStartedNanos + GROUP_TIMEOUT_NANOS)
+                : Long.MAX_VALUE;
     }
 
-    /** Takes out those that may go to the copy now. */
+    /** Removes and returns the requests that may be started now. */
     List<LocalRun> release(long now) {
-        if (waiting.isEmpty() || now < settledNanos) {
+        if (waiting.isEmpty() || now < earliestStartNanos) {
             return List.of();
         }
         List<LocalRun> next = nextGroup();
-        boolean overlong = now - groupStartedNanos >= LONGEST_TURN_NANOS;
-        if (!group.isEmpty() && !(overlong && mayShare(next))) {
+        boolean timedOut = now - groupStartedNanos >= GROUP_TIMEOUT_NANOS;
+        if (!group.isEmpty() && !(timedOut && mayRunTogether(next))) {
             return List.of();
         }
         groupStartedNanos = now;
@@ -94,22 +107,22 @@
         return next;
     }
 
-    private boolean mayShare(List<LocalRun> next) {
+    private boolean mayRunTogether(List<LocalRun> next) {
         return Stream.concat(group.stream(), next.stream()).noneMatch(LocalRun::mustRunAlone);
     }
 
     /**
-     * Chooses who goes next: first what most callers wait for, since one answer to it lets all of them through; of equals,
-     * what has waited longest.
+     * Chooses the requests to start next: first those whose fingerprint most requests wait with, since one answer
+     * clears all of them; of equals, the longest waiting ones.
      */
     private List<LocalRun> nextGroup() {
-        Map<Fingerprint, List<LocalRun>> byRequest = new LinkedHashMap<>();
+        Map<Fingerprint, List<LocalRun>> byFingerprint = new LinkedHashMap<>();
         for (LocalRun run : waiting) {
-            byRequest
+            byFingerprint
                     .computeIfAbsent(run.suspected().orElseThrow(), _ -> new ArrayList<>())
                     .add(run);
         }
-        List<LocalRun> first = byRequest.values().stream()
+        List<LocalRun> first = byFingerprint.values().stream()
                 .sorted(Comparator.comparingInt(runs -> -runs.size()))
                 .map(List::getFirst)
                 .toList();
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/package-info.java
@@ -1,4 +1,6 @@
-/** The upstream copies: which there are, how loaded they are, and the queue in front of the local one. */
+/**
+ * The upstream copies: the published ones, their load, the choice among them, and the queue in front of the local copy.
+ */
 @NullMarked
 package org.carawaysill.policy.fleet.copy;
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyChoiceTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyChoiceTest.java
@@ -92,7 +92,7 @@
     @Nested
     class Failures {
 
-        /** A copy that fails at once is idle: its load says nothing for it. */
+        /** A copy that fails at once is idle, so its low load is no advantage. */
         @Test
         void outweighIdleness() {
             add("failing", "near", 0, 0.05);
@@ -101,7 +101,7 @@
             assertEquals("sound", chosen(0));
         }
 
-        /** Where all fail alike, as behind a service that is down, none is to blame. */
+        /** If all copies fail alike, as when a service that they call is down, none is penalised. */
         @Test
         void countInComparison() {
             add("near", "near", 4, 0.05);
@@ -129,7 +129,7 @@
             assertEquals("slow", chosen(5000));
         }
 
-        /** A large answer is no reason to queue at a near copy while a far one is free. */
+        /** A large answer must not queue at a near copy while a far one has free slots. */
         @Test
         void countsLittleWhereTheNearCopyIsFull() {
             add("near", "near", 40, 0.05);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyGateTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyGateTest.java
@@ -65,8 +65,8 @@
     class Order {
 
         /*
-         * A deep service is full. A lookup that has just arrived and an issuance that has already been worked on by two
-         * services above wait for the same slot: the issuance must get it, whichever came first.
+         * A request of low rank and one of high rank, for which two services above have already done work, wait for the
+         * same slot of a deep service: the latter must get it, whichever arrived first.
          */
         @Test
         void isByRankThenByWorkDoneThenByTimeLeft() {
@@ -90,21 +90,21 @@
         }
 
         /*
-         * Two lookups wait at a deep service: the seventh of eight calls of one, and the first of the other. Both calls have
-         * just come, and the first lookup has 0.2 s left in all. It must go first, or all its calls were for nothing; and an
-         * issuance that has just come goes before both.
+         * Two lookups wait at a deep service: one with the seventh of its eight calls, and one with its first. Both
+         * calls have just arrived, and the first lookup has 0.2 s left in all. It must go first, or all of its earlier
+         * calls are wasted. An issuance that has just arrived goes before both.
          */
         @Test
         void isByRankThenByHowLongAgoTheCallerAsked() {
             fill(1);
             LocalRun running = gate.all().getFirst();
-            LocalRun begun = run(2, 3, SECOND / 10, SECOND / 4);
-            LocalRun nearlyDone = run(2, 3, 6 * SECOND / 10, SECOND / 5);
+            LocalRun firstCalls = run(2, 3, SECOND / 10, SECOND / 4);
+            LocalRun lastCalls = run(2, 3, 6 * SECOND / 10, SECOND / 5);
             LocalRun shallow = run(2, 0, SECOND / 2, SECOND / 10);
             LocalRun issuance = run(0, 0, 0, SECOND);
-            List.of(begun, shallow, nearlyDone, issuance).forEach(each -> gate.offer(0, each));
+            List.of(firstCalls, shallow, lastCalls, issuance).forEach(each -> gate.offer(0, each));
             gate.finished(0, running, CopyGate.Ending.DONE);
-            assertStartedInOrder(gate, List.of(issuance, nearlyDone, shallow, begun));
+            assertStartedInOrder(gate, List.of(issuance, lastCalls, shallow, firstCalls));
         }
 
         @Test
@@ -144,15 +144,15 @@
             return full.load(0).limit();
         }
 
-        /** The copy still works on what a process before this one handed to it. */
+        /** The copy still works on requests that an earlier process of this node sent to it. */
         @Test
         void lowerTheLimit() {
             assertEquals(17, limitAfter(3));
         }
 
         /*
-         * A copy refuses half of its requests, however few it has. Each refusal was taken for a full copy, and half of its
-         * slots stayed empty for as long as it did so.
+         * A copy refuses half of its requests, however few it receives. If each refusal were taken as a sign of a full
+         * copy, half of its slots would stay empty for as long as it refuses.
          */
         @Test
         void thatComeWithHalfOfTheSlotsFreeDoNot() {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyTableTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyTableTest.java
@@ -64,8 +64,8 @@
         }
 
         /*
-         * The platform's store was down, and a copy that went on living could not send its heartbeats: its entry is gone
-         * when the store is back, and there again two seconds later. Taking it for gone at once would push its share of the
+         * While the platform's store is down, a running copy cannot send its heartbeats: its entry is missing when the
+         * store returns and reappears two seconds later. Taking the copy as gone at once would move its share of the
          * load onto the others for that time.
          */
         @Test
@@ -91,8 +91,8 @@
     class Starts {
 
         /*
-         * A copy lost power while it drained, and started again under its name before its entry had lapsed. It was taken for
-         * the same process, with the failures and the load of the dead one.
+         * A copy loses power while it drains, and starts again under its name before its entry has expired. It must not
+         * be taken for the same process, with the failures and the load of the dead one.
          */
         @Test
         void underTheSameNameMakeAnotherCopy() {
@@ -108,7 +108,7 @@
         }
 
         /*
-         * The last heartbeat of a copy's earlier process was written late, behind the first one of its new process: it said
+         * The last heartbeat of a copy's earlier process is written after the first one of its new process, and says
          * that the copy drains.
          */
         @Test
@@ -123,8 +123,8 @@
     class Services {
 
         /*
-         * Another program publishes an entry of a service that nobody knows, with the address of a living copy. The copy got
-         * no work any more, and its node took the other entry's slots for its own.
+         * Another program publishes an entry of an unknown service with the address of a running copy. It must not keep
+         * that copy from receiving requests, nor must its slots be applied to that copy.
          */
         @Test
         void thatAreNotNamedHaveNoCopies() {
@@ -155,8 +155,8 @@
     class Addresses {
 
         /*
-         * A copy crashes, and its address goes to a copy of another service before its own entry has lapsed. Requests for
-         * the old service would reach the new copy.
+         * A copy crashes, and its address is given to a copy of another service before its own entry has expired.
+         * Requests for the old service must not reach the new copy.
          */
         @Test
         void belongToTheNewestCopy() {
@@ -167,9 +167,9 @@
         }
 
         /*
-         * All VMs lost power; nodes and copies started again under new names, and a node read the entries of the dead and of
-         * the living copies at one moment. It took either for the newer one, in the order of a hash table: until the dead
-         * ones' entries lapsed, most requests were answered 421.
+         * All VMs lose power; nodes and copies start again under new names, and a node reads the entries of the dead
+         * and of the running copies at the same moment. If it chose by the order of a hash table, most requests would
+         * be answered 421 until the dead ones' entries expire.
          */
         @Test
         void belongToTheCopyWrittenLastWhereBothAreReadAtOnce() {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/copy/NearFullLimitTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/copy/NearFullLimitTest.java
@@ -17,7 +17,7 @@
     private final NearFullLimit limit = new NearFullLimit(true);
     private final SplittableRandom random = new SplittableRandom(4);
 
-    /** Lets the copy answer requests that began at random loads; nearly full, they take longer by a factor. */
+    /** Adds samples of requests that began at random loads; at a nearly full copy they take longer by a factor. */
     private void answer(int count, double factorNearFull) {
         limit.reset(0, SLOTS);
         for (int i = 0; i < count; i++) {
@@ -43,7 +43,7 @@
             assertEquals(SLOTS, limit.limit(0));
         }
 
-        /** A copy that was replaced or mended must get its last slots back some time. */
+        /** A copy that was replaced or repaired must be able to use its last slots again. */
         @Test
         void triesTheLastSlotsNowAndThen() {
             answer(3000, 1.5);
@@ -55,7 +55,7 @@
     @Nested
     class Unknown {
 
-        /** Both ways must be seen before one is chosen, also where all slots are asked for from the start. */
+        /** Both limits must be measured before one is chosen, even if all slots are in demand from the start. */
         @Test
         void usesTheLastSlotsInTurn() {
             limit.reset(0, SLOTS);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/copy/WorkTimeTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/copy/WorkTimeTest.java
@@ -31,8 +31,8 @@
     }
 
     /*
-     * A copy was slow for a while and got no more requests for that. Nothing shows that it is fast again unless it gets some:
-     * what was known of it must be forgotten.
+     * A copy was slow for a while and therefore received no more requests. Only requests can show that it has
+     * recovered, so the old mean must expire.
      */
     @Test
     void isForgottenWithoutRequests() {
