--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/DemandKey.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/DemandKey.java
@@ -1,7 +1,7 @@
 package org.carawaysill.policy.fleet.entry;
 
 /**
- * Requests that are admitted alike: of one route, and of organisations of one rank.
+ * Identifies a class of requests that is admitted at one rate: those of one route from organisations of one rank.
  *
  * <p>Immutable and thread safe.
  *
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/DemandMeter.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/DemandMeter.java
@@ -8,26 +8,26 @@
 import org.carawaysill.policy.time.Nanos;
 
 /**
- * Measures what callers ask of this node.
+ * Measures the rates of callers' requests at this node.
  *
  * <p>Not thread safe: owned by the policy.
  */
 public final class DemandMeter {
 
     /**
-     * The time over which rates are averaged. Shorter follows a burst sooner and scatters more: summed over a fleet that
-     * gets 100 requests a second of a route, half a second gives a scatter of a seventh.
+     * The time constant of the average of rates. A shorter one follows a burst sooner but scatters more: half a second
+     * gives a standard deviation of a seventh for the sum over a fleet that receives 100 requests a second on a route.
      */
-    private static final double MEMORY_SECONDS = 0.5;
+    private static final double AVERAGING_SECONDS = 0.5;
 
-    private static final double FORGOTTEN_RATE = 0.01;
+    private static final double NEGLIGIBLE_RATE = 0.01;
 
     private final Map<DemandKey, RateMeter> offered = new HashMap<>();
     private final Map<DemandKey, RateMeter> completed = new HashMap<>();
     private long closedNanos;
 
     /**
-     * Starts with nothing measured.
+     * Creates a meter without measurements.
      *
      * @param now the monotonic time
      */
@@ -38,7 +38,7 @@
     /**
      * Counts a caller's request.
      *
-     * @param key its route, and the rank of its organisation
+     * @param key the request's route, and the rank of its organisation
      */
     public void offered(DemandKey key) {
         offered.computeIfAbsent(key, _ -> new RateMeter()).add(1);
@@ -47,14 +47,14 @@
     /**
      * Counts a caller's request that a copy answered.
      *
-     * @param key its route, and the rank of its organisation
+     * @param key the request's route, and the rank of its organisation
      */
     public void completed(DemandKey key) {
         completed.computeIfAbsent(key, _ -> new RateMeter()).add(1);
     }
 
     /**
-     * Closes an interval of measurement.
+     * Ends an interval of measurement and updates the rates.
      *
      * @param now the monotonic time
      */
@@ -64,20 +64,20 @@
             return;
         }
         closedNanos = now;
-        double weight = 1 - Math.exp(-seconds / MEMORY_SECONDS);
+        double weight = 1 - Math.exp(-seconds / AVERAGING_SECONDS);
         close(offered, seconds, weight);
         close(completed, seconds, weight);
     }
 
     private static void close(Map<DemandKey, RateMeter> meters, double seconds, double weight) {
         meters.values().forEach(meter -> meter.close(seconds, weight));
-        meters.values().removeIf(meter -> meter.rate() < FORGOTTEN_RATE);
+        meters.values().removeIf(meter -> meter.rate() < NEGLIGIBLE_RATE);
     }
 
     /**
-     * Returns the demand of each route and rank of organisations.
+     * Returns the demand for each route and rank of organisations.
      *
-     * @return requests a second
+     * @return the demands, in requests a second
      */
     public List<RouteDemand> demands() {
         List<RouteDemand> demands = new ArrayList<>(offered.size());
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/EntryPlan.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/EntryPlan.java
@@ -15,35 +15,37 @@
 import org.carawaysill.policy.message.PeerMessage.SlotTime;
 
 /**
- * Which share of each route's requests is admitted, so that what is admitted fits every service that it reaches.
+ * Plans which share of each route's requests is admitted, so that the admitted requests fit the capacity of every
+ * service that they reach.
  *
- * <p>Refusing a call at the last hop wastes all work done above it: where a request makes a dozen calls in a row, one
- * refused call in ten leaves hardly any whole request. So requests are refused at the entry, before any work, and by what
- * they cost at each service below. All nodes see nearly the same reports and so come to nearly the same plan without
- * talking about it. Invariant: beyond {@link #LEAST_PART} of its slots, a service serves a route only while no route of
- * higher rank that needs it is rejected; where organisations have several ranks, beyond {@link #LEAST_PART_OF_RANKS}.
- * Not thread safe: owned by the policy.
+ * <p>Refusing a call deep in the call graph wastes all work done above it: where a request makes a dozen calls in
+ * sequence, one refused call in ten leaves hardly any request complete. So requests are refused at the entry, before
+ * any work is done, by what they cost at each service below. All nodes receive nearly the same reports, so they compute
+ * nearly the same plan without coordination. Invariant: beyond {@link #MINIMUM_PART} of its slots, a service serves a
+ * route only while no route of higher rank that needs it is rejected; where organisations have several ranks, beyond
+ * {@link #MINIMUM_PART_OF_RANKS}. Not thread safe: owned by the policy.
  */
 public final class EntryPlan {
 
-    /** What of each route is admitted however much it costs: no kind of request is to be starved. */
-    private static final double LEAST_SHARE = 0.1;
+    /** The minimum share that is admitted of each route, whatever it costs, so that none is starved. */
+    private static final double MINIMUM_SHARE = 0.1;
 
     /**
-     * The part of a service's slots that is left to the least shares of all routes together. Guards against an overload in
-     * which they take all there is: where three of four copies are gone, a tenth of everything offered is more than the
-     * last one can do, and the most important requests then get no more than the least important.
+     * The part of a service's slots that the minimum shares of all routes together may use. Guards against an overload
+     * in which they use all slots: where three of four copies are gone, a tenth of all requests exceeds the capacity of
+     * the last copy, and the most important requests would be admitted no more than the least important.
      */
-    private static final double LEAST_PART = 0.25;
+    private static final double MINIMUM_PART = 0.25;
 
     /**
-     * The share of organisations of each rank that is admitted, as a part of the share of all requests. Guards against
-     * organisations of the last rank that are hardly served while others of the first rank ask for all there is.
+     * The minimum share that is admitted of the requests of each rank of organisations, as a part of the share admitted
+     * of all requests. Guards against starving organisations of the last rank while others of the first rank ask for
+     * all slots.
      */
-    private static final double LEAST_OF_MEAN = 0.35;
+    private static final double MINIMUM_OF_MEAN = 0.35;
 
-    /** The part of a service's slots that is left to the least shares where organisations have several ranks. */
-    private static final double LEAST_PART_OF_RANKS = 0.4;
+    /** The part of a service's slots that the minimum shares may use where organisations have several ranks. */
+    private static final double MINIMUM_PART_OF_RANKS = 0.4;
 
     private final Set<Mechanism> without;
     private final RouteCosts costs = new RouteCosts();
@@ -53,20 +55,21 @@
     private Map<DemandKey, Double> offered = Map.of();
 
     /**
-     * Starts without a plan: everything is admitted.
+     * Creates an empty plan, which admits everything.
      *
-     * @param without what is switched off
+     * @param without the mechanisms that are switched off
      */
     public EntryPlan(Set<Mechanism> without) {
         this.without = without;
     }
 
     /**
-     * Plans anew.
+     * Computes a new plan.
      *
-     * @param demand what callers ask of all nodes, and what it costs
-     * @param loads what the copies that may get work now are doing, by service; a service that is not there has none
-     * @param routes the routes by name
+     * @param demand the requests of callers at all nodes, and their costs
+     * @param loads the load of the copies that may receive requests, by service; a service that is absent has no such
+     *     copy
+     * @param routes the routes, by name
      */
     public void update(RouteSums demand, Map<ServiceName, ServiceLoad> loads, Map<String, Route> routes) {
         costs.average(demand);
@@ -77,8 +80,8 @@
         SortedMap<Integer, List<PlannedRoute>> byRank = byRank(demand, routes);
         List<PlannedRoute> all = byRank.values().stream().flatMap(List::stream).toList();
         room = room(loads);
-        fillLeast(all);
-        byRank.values().forEach(equals -> room.fill(equals, 1, 1));
+        fillMinimumShares(all);
+        byRank.values().forEach(sameRank -> room.fill(sameRank, 1, 1));
         Map<DemandKey, Double> newShares = new HashMap<>();
         Map<DemandKey, Double> newOffered = new HashMap<>();
         for (PlannedRoute route : all) {
@@ -89,17 +92,17 @@
         offered = newOffered;
     }
 
-    private void fillLeast(List<PlannedRoute> all) {
+    private void fillMinimumShares(List<PlannedRoute> all) {
         boolean severalRanks = all.stream()
                         .map(route -> route.key().organisationRank())
                         .distinct()
                         .count()
                 > 1;
         if (severalRanks) {
-            double least = Math.max(LEAST_SHARE, LEAST_OF_MEAN * meanShare());
-            room.fill(all, least, LEAST_PART_OF_RANKS);
+            double least = Math.max(MINIMUM_SHARE, MINIMUM_OF_MEAN * meanShare());
+            room.fill(all, least, MINIMUM_PART_OF_RANKS);
         } else {
-            room.fill(all, LEAST_SHARE, LEAST_PART);
+            room.fill(all, MINIMUM_SHARE, MINIMUM_PART);
         }
     }
 
@@ -128,7 +131,7 @@
 
     private SharedRoom room(Map<ServiceName, ServiceLoad> loads) {
         if (!without.contains(Mechanism.IDLE_SLOTS)) {
-            slots.follow(loads, room::isFull);
+            slots.update(loads, room::isFull);
         }
         SharedRoom newRoom = new SharedRoom();
         loads.forEach((service, load) -> newRoom.add(service, slots.of(service, load)));
@@ -136,27 +139,27 @@
     }
 
     /**
-     * Learns what a whole request cost.
+     * Adds the cost of a request that completed.
      *
      * @param route its route
-     * @param times the slots' time that it took, all its calls included
+     * @param times the slot time that it took at each service, including all of its calls
      */
     public void learn(String route, List<SlotTime> times) {
         costs.learn(route, times);
     }
 
     /**
-     * Learns what a request cost at the least that failed on its way.
+     * Adds the cost of a request that failed midway, as a lower bound.
      *
      * @param route its route
-     * @param times the slots' time that it took until then
+     * @param times the slot time that it took at each service until it failed
      */
     public void learnLeast(String route, List<SlotTime> times) {
         costs.learnLeast(route, times);
     }
 
     /**
-     * Returns what this node has learned, to be told to others.
+     * Returns the costs that this node has measured, to be sent to other nodes.
      *
      * @return the cost of each route at each service
      */
@@ -167,7 +170,7 @@
     /**
      * Returns which share of a route's requests is admitted.
      *
-     * @param key the route, and the rank of the organisations that ask
+     * @param key the route, and the rank of the requesting organisations
      * @return 0 to 1
      */
     public double share(DemandKey key) {
@@ -175,18 +178,18 @@
     }
 
     /**
-     * Returns what is planned for.
+     * Returns the classes of requests that the plan covers.
      *
-     * @return routes, with the ranks of the organisations that ask
+     * @return routes, with the ranks of the requesting organisations
      */
     public Set<DemandKey> keys() {
         return shares.keySet();
     }
 
     /**
-     * Returns how much is asked of a route in the whole fleet.
+     * Returns the demand for a route in the whole fleet.
      *
-     * @param key the route, and the rank of the organisations that ask
+     * @param key the route, and the rank of the requesting organisations
      * @return requests a second
      */
     public double offered(DemandKey key) {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/PlannedRoute.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/PlannedRoute.java
@@ -4,9 +4,10 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * A route, as organisations of one rank ask for it, in the making of a plan, with the share of its requests that is admitted so far.
+ * The requests for one route from organisations of one rank, while a plan is computed, with the share of them that is
+ * admitted so far.
  *
- * <p>Invariant: the share is 0 to 1 and never falls. Not thread safe: lives as long as one plan is made.
+ * <p>Invariant: the share is 0 to 1 and never falls. Not thread safe: used while one plan is computed.
  */
 final class PlannedRoute {
 
@@ -16,11 +17,11 @@
     private double share;
 
     /**
-     * Begins with nothing let in.
+     * Creates an entry with a share of 0.
      *
-     * @param key the route, and the rank of the organisations that ask
+     * @param key the route, and the rank of the requesting organisations
      * @param offered requests a second in the whole fleet, more than 0
-     * @param costs seconds of a slot that one request takes, by service; empty where they are not known
+     * @param costs the slot seconds that one request takes, by service; empty while unknown
      */
     PlannedRoute(DemandKey key, double offered, Map<ServiceName, Double> costs) {
         this.key = key;
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/RateMeter.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/RateMeter.java
@@ -1,7 +1,7 @@
 package org.carawaysill.policy.fleet.entry;
 
 /**
- * An amount for each second, averaged with weights that fall off with age.
+ * Measures a rate per second, as an exponentially weighted average.
  *
  * <p>Not thread safe: owned by the policy.
  */
@@ -15,9 +15,9 @@
     }
 
     /**
-     * Closes an interval.
+     * Ends an interval and updates the rate.
      *
-     * @param seconds its length
+     * @param seconds the interval's length
      * @param weight the weight of this interval, 0 to 1
      */
     void close(double seconds, double weight) {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/RouteCosts.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/RouteCosts.java
@@ -11,44 +11,44 @@
 import org.carawaysill.policy.message.PeerMessage.SlotTime;
 
 /**
- * What one request of a route costs at each service, in seconds of a slot.
+ * Estimates what one request of a route costs at each service, in slot seconds.
  *
- * <p>Each answer brings back the slots' time that it took, here and at all deeper services. What whole requests took is
- * averaged; failed ones only ever raise a figure that is too low. The slots in use divided by what completes would make a
- * route the dearer the more of it fails, and refuse the most important first when an overload begins. Not thread safe: owned
- * by the policy.
+ * <p>Each answer carries the slot time that it took, here and at all deeper services. The times of completed requests
+ * are averaged; those of failed ones can only raise an estimate that is too low. Dividing the slots in use by the
+ * completed requests instead would make a route look more expensive the more of its requests fail, and so refuse the
+ * most important first when an overload begins. Not thread safe: owned by the policy.
  */
 final class RouteCosts {
 
     /**
-     * The weight of one more request: the last five or so count. Each of many nodes sees few requests of a route, and where
-     * copies vanish or slow down, the cost must be known anew within a second or two; the average over all nodes evens out
-     * what the few requests of each scatter. With the last twenty, 0.88 in place of 0.90 is served within its aim at 2.3
-     * times the usual load in virtual time.
+     * The weight of one more request in the average: about the last five count. Each of many nodes sees few requests of
+     * a route, and where copies vanish or slow down, the new cost must be known within a second or two; the average
+     * over all nodes evens out the scatter of each node's few samples. With the last twenty, 0.88 instead of 0.90 of
+     * the requests are served within their target time at 2.3 times the usual load in virtual time.
      */
     private static final float REQUEST_WEIGHT = 0.2f;
 
-    /** Less than any work takes: what is left of a cost that no request has had for long. */
+    /** Less than any request takes: a cost that has decayed below this is removed. */
     private static final float NEGLIGIBLE_SECONDS = 1e-5f;
 
-    private final Map<String, Map<ServiceName, Float>> own = new HashMap<>();
-    private final Map<String, Map<ServiceName, Double>> ofFleet = new HashMap<>();
+    private final Map<String, Map<ServiceName, Float>> ownCosts = new HashMap<>();
+    private final Map<String, Map<ServiceName, Double>> fleetCosts = new HashMap<>();
 
-    /** Learns from a whole request. */
+    /** Adds the cost of a request that completed. */
     void learn(String route, List<SlotTime> times) {
         Map<ServiceName, Float> known = known(route);
-        Map<ServiceName, Float> seen = sums(times);
-        known.replaceAll((service, cost) -> cost + REQUEST_WEIGHT * (seen.getOrDefault(service, 0f) - cost));
-        seen.forEach(known::putIfAbsent);
+        Map<ServiceName, Float> measured = sums(times);
+        known.replaceAll((service, cost) -> cost + REQUEST_WEIGHT * (measured.getOrDefault(service, 0f) - cost));
+        measured.forEach(known::putIfAbsent);
         known.values().removeIf(cost -> cost < NEGLIGIBLE_SECONDS);
     }
 
     /**
-     * Learns from a request that failed on its way: what it took so far is the least that a whole one costs.
+     * Adds the cost of a request that failed midway: what it took so far is a lower bound of a complete request's cost.
      *
-     * <p>Guards against an overload that keeps its cause unknown, which shows as a service whose queue is full for seconds
-     * after all nodes started anew, while nothing is refused at the entry: no request gets through it whole, so that none
-     * tells what it costs.
+     * <p>Guards against an overload whose cause stays unknown, which shows as a service whose queue is full for seconds
+     * after all nodes were restarted, while nothing is refused at the entry: if no request completes, completed ones
+     * alone never reveal the cost.
      */
     void learnLeast(String route, List<SlotTime> times) {
         Map<ServiceName, Float> known = known(route);
@@ -58,7 +58,7 @@
     }
 
     private Map<ServiceName, Float> known(String route) {
-        return own.computeIfAbsent(route, _ -> new HashMap<>());
+        return ownCosts.computeIfAbsent(route, _ -> new HashMap<>());
     }
 
     private static Map<ServiceName, Float> sums(List<SlotTime> times) {
@@ -67,32 +67,32 @@
         return sums;
     }
 
-    /** Returns what this node has learned, to be told to others. */
+    /** Returns the costs that this node has measured, to be sent to other nodes. */
     List<RouteCost> own() {
         List<RouteCost> costs = new ArrayList<>();
-        own.forEach((route, times) ->
+        ownCosts.forEach((route, times) ->
                 times.forEach((service, seconds) -> costs.add(new RouteCost(route, service, seconds))));
         return costs;
     }
 
     /**
-     * Receives what all nodes have learned. A route of which nobody knows anything now keeps what was known before; of one that
-     * somebody knows, only what is known now counts.
+     * Takes in the costs that all nodes have measured. For a route whose cost no node knows now, the previous estimate
+     * stays; for any other route, the new costs replace it entirely.
      *
-     * <p>Guards against a route that is rejected for good, since it once needed a service that has no copies any more, as after
-     * a configuration that sends its calls elsewhere.
+     * <p>Guards against a route that is rejected forever because it once needed a service that has no copies any more,
+     * for example after a configuration change that sends its calls elsewhere.
      */
     void average(RouteSums sums) {
-        sums.forEachCost(ofFleet::put);
+        sums.forEachCost(fleetCosts::put);
     }
 
     Map<ServiceName, Double> of(String route) {
-        return ofFleet.getOrDefault(route, Map.of());
+        return fleetCosts.getOrDefault(route, Map.of());
     }
 
-    /** Forgets routes that are no longer published. */
+    /** Removes the routes that are no longer published. */
     void retain(Collection<String> routes) {
-        own.keySet().retainAll(routes);
-        ofFleet.keySet().retainAll(routes);
+        ownCosts.keySet().retainAll(routes);
+        fleetCosts.keySet().retainAll(routes);
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/ServiceLoad.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/ServiceLoad.java
@@ -3,20 +3,20 @@
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
 /**
- * What the copies of one service that may get work now are doing, summed.
+ * The summed load of the copies of one service that may receive requests.
  *
  * <p>Immutable and thread safe.
  *
- * @param slots requests that may be at these copies
- * @param running requests at them
- * @param queued requests that wait in front of them
+ * @param slots how many requests these copies can run at once
+ * @param running the requests that they run
+ * @param queued the requests that wait in front of them
  */
 public record ServiceLoad(int slots, int running, int queued) {
 
     /**
      * Returns the load of one copy.
      *
-     * @param copy what its node told last
+     * @param copy the last load report of the copy's node
      * @return the load
      */
     public static ServiceLoad of(LoadReport copy) {
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Adds other copies.
+     * Adds the load of other copies.
      *
      * @param other their load
      * @return the sum
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/ShareGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/ShareGate.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * Lets a share of each route's requests in, evenly spaced.
+ * Admits a share of each route's requests, evenly spaced.
  *
- * <p>Spacing them keeps the load that is admitted as even as the load that comes; drawing each at random would add its own
- * clumps. Invariant: of any number of requests under one share, the number let in is within one of that share. Not thread
- * safe: owned by the policy.
+ * <p>Even spacing keeps the admitted load as smooth as the arriving load; an independent random draw for each request
+ * would add bunching. Invariant: of any number of requests under one share, the number admitted is within one of that
+ * share. Not thread safe: owned by the policy.
  */
 public final class ShareGate {
 
     private final Map<DemandKey, Double> credits = new HashMap<>();
 
     /**
-     * Decides about the next request.
+     * Decides whether the next request is admitted.
      *
-     * @param key its route, and the rank of its organisation
+     * @param key the request's route, and the rank of its organisation
      * @param share the share that is admitted, 0 to 1
      * @return whether it is admitted
      */
@@ -26,8 +26,8 @@
             return true;
         }
         double credit = credits.getOrDefault(key, 0.5) + share;
-        boolean in = credit >= 1;
-        credits.put(key, in ? credit - 1 : credit);
-        return in;
+        boolean admitted = credit >= 1;
+        credits.put(key, admitted ? credit - 1 : credit);
+        return admitted;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/SharedRoom.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/SharedRoom.java
@@ -7,68 +7,77 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * The slots that are planned for at each service, as they are given out to routes.
+ * The planned slots of each service, as they are allocated to routes.
  *
- * <p>Invariant: no service gives out more than it has, but for rounding. Not thread safe: lives as long as one plan is made.
+ * <p>Invariant: no service allocates more than it has, except for rounding. Not thread safe: used while one plan is
+ * computed.
  */
 final class SharedRoom {
 
-    /** Shares and slots that differ by less than this part are the same: sums of some hundred fractions are that exact. */
+    /**
+     * Shares and slots that differ by less than this part count as equal, which covers the rounding errors of sums of
+     * some hundred fractions.
+     */
     private static final double ROUNDING = 1e-6;
 
-    /** What a request counts that takes no slot of any service with room: far less than any that takes one. */
-    private static final double LEAST_DEARNESS = 1e-6;
+    /**
+     * The cost of a request that needs no slot of any service with capacity: far less than that of any request that
+     * needs one.
+     */
+    private static final double MINIMUM_COST = 1e-6;
 
-    private final Map<ServiceName, Double> whole = new HashMap<>();
-    private final Map<ServiceName, Double> left = new HashMap<>();
+    private final Map<ServiceName, Double> planned = new HashMap<>();
+    private final Map<ServiceName, Double> remaining = new HashMap<>();
 
     void add(ServiceName service, double slots) {
-        whole.put(service, slots);
-        left.put(service, slots);
+        planned.put(service, slots);
+        remaining.put(service, slots);
     }
 
-    /** Returns whether all planned slots of a service were given out, so that it rejects requests. */
+    /** Returns whether all planned slots of a service are allocated, so that it rejects requests. */
     boolean isFull(ServiceName service) {
-        return whole.containsKey(service) && free(service, 0) <= ROUNDING * whole.getOrDefault(service, 0.0);
+        return planned.containsKey(service) && free(service, 0) <= ROUNDING * planned.getOrDefault(service, 0.0);
     }
 
     /**
-     * Raises the shares of routes together until each has its most, or a service that it needs is full.
+     * Raises the shares of routes together until each reaches its maximum or a service that it needs is full.
      *
-     * <p>A route rises the slower the more of any service's slots one request of it takes, in proportion: so each route gets
-     * as many slots as the others. With equal shares, a route with dear requests would push out several times as many cheap
-     * ones; with the cheap ones first, the dear ones would hardly be served at all.
+     * <p>A route's share rises the slower, the larger the part of any service's slots is that one of its requests
+     * takes, so that each route receives as many slots as the others. With equal shares, a route with expensive
+     * requests would displace several times as many cheap ones; with the cheap ones first, the expensive ones would
+     * hardly be served at all.
      *
      * @param routes the routes, whose shares are raised
-     * @param mostShare the share up to which they rise, 0 to 1
-     * @param part the part of each service's slots that may be given out, to these and to those before, 0 to 1
+     * @param maximumShare the share up to which they rise, 0 to 1
+     * @param part the part of each service's slots that may be allocated, including earlier allocations, 0 to 1
      */
-    void fill(List<PlannedRoute> routes, double mostShare, double part) {
+    void fill(List<PlannedRoute> routes, double maximumShare, double part) {
         List<PlannedRoute> rising = new ArrayList<>(routes);
-        // Each round ends the rise of at least one route.
+        // Each round takes at least one route out of the rising ones.
         for (int rounds = routes.size(); rounds > 0; rounds--) {
-            rising.removeIf(route -> route.share() >= mostShare - ROUNDING || isKeptOut(route, part));
-            raise(rising, mostShare, part);
+            rising.removeIf(route -> route.share() >= maximumShare - ROUNDING || isBlocked(route, part));
+            raiseShares(rising, maximumShare, part);
         }
     }
 
-    private boolean isKeptOut(PlannedRoute route, double part) {
+    private boolean isBlocked(PlannedRoute route, double part) {
         return route.costs().entrySet().stream()
                 .anyMatch(cost -> cost.getValue() > 0
-                        && free(cost.getKey(), 1 - part) <= ROUNDING * whole.getOrDefault(cost.getKey(), 0.0));
+                        && free(cost.getKey(), 1 - part) <= ROUNDING * planned.getOrDefault(cost.getKey(), 0.0));
     }
 
-    private double free(ServiceName service, double keptPart) {
-        return left.getOrDefault(service, 0.0) - keptPart * whole.getOrDefault(service, 0.0);
+    private double free(ServiceName service, double reservedPart) {
+        return remaining.getOrDefault(service, 0.0) - reservedPart * planned.getOrDefault(service, 0.0);
     }
 
-    private void raise(List<PlannedRoute> rising, double mostShare, double part) {
+    private void raiseShares(List<PlannedRoute> rising, double maximumShare, double part) {
         Map<ServiceName, Double> use = new HashMap<>();
         double step = Double.MAX_VALUE;
         for (PlannedRoute route : rising) {
-            double pace = pace(route);
-            step = Math.min(step, (mostShare - route.share()) / pace);
-            route.costs().forEach((service, cost) -> use.merge(service, pace * route.offered() * cost, Double::sum));
+            double growthRate = growthRate(route);
+            step = Math.min(step, (maximumShare - route.share()) / growthRate);
+            route.costs()
+                    .forEach((service, cost) -> use.merge(service, growthRate * route.offered() * cost, Double::sum));
         }
         for (Map.Entry<ServiceName, Double> each : use.entrySet()) {
             if (each.getValue() > 0) {
@@ -76,20 +85,20 @@
             }
         }
         for (PlannedRoute route : rising) {
-            route.raise(step * pace(route));
+            route.raise(step * growthRate(route));
         }
         double taken = step;
-        use.forEach((service, each) -> left.merge(service, -taken * each, Double::sum));
+        use.forEach((service, each) -> remaining.merge(service, -taken * each, Double::sum));
     }
 
-    private double pace(PlannedRoute route) {
-        double dearness = LEAST_DEARNESS;
+    private double growthRate(PlannedRoute route) {
+        double highestCost = MINIMUM_COST;
         for (Map.Entry<ServiceName, Double> cost : route.costs().entrySet()) {
-            double slots = whole.getOrDefault(cost.getKey(), 0.0);
+            double slots = planned.getOrDefault(cost.getKey(), 0.0);
             if (slots > 0) {
-                dearness = Math.max(dearness, cost.getValue() / slots);
+                highestCost = Math.max(highestCost, cost.getValue() / slots);
             }
         }
-        return 1 / dearness;
+        return 1 / highestCost;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/SlotTimes.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/SlotTimes.java
@@ -8,7 +8,7 @@
 import org.carawaysill.policy.message.PeerMessage.SlotTime;
 
 /**
- * The slots' time that a request and all calls that it causes took, by service.
+ * The slot time that a request and all calls on its behalf took, by service.
  *
  * <p>Not thread safe: owned by the policy.
  */
@@ -20,14 +20,14 @@
      * Adds time at one service.
      *
      * @param service the service
-     * @param more seconds
+     * @param more the time in seconds
      */
     public void add(ServiceName service, double more) {
         seconds.merge(service, (float) more, Float::sum);
     }
 
     /**
-     * Adds what a call took, its own calls included.
+     * Adds the times of a call, including its own calls.
      *
      * @param times the times
      */
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/package-info.java
@@ -1,4 +1,4 @@
-/** Which requests of callers are admitted, by what they cost at the services below. */
+/** Admission of callers' requests at the entry, by their cost at the services that they reach. */
 @NullMarked
 package org.carawaysill.policy.fleet.entry;
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/entry/EntryPlanTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/entry/EntryPlanTest.java
@@ -73,15 +73,16 @@
     class UnknownCosts {
 
         /*
-         * All nodes have just started and know no costs, and many more lookups come than fit. All are let in, the deep
-         * service's queues fill, each lookup loses one of its calls, and none gets through whole. Were costs learned from
-         * whole requests only, the entry would let all of them in for as long as that lasts (two seconds were seen).
+         * All nodes have just started and know no costs, and many more lookups arrive than fit. All are admitted, the
+         * queues of the deep service fill, each lookup loses one of its calls, and none completes. If costs were
+         * measured on completed requests only, the entry would admit all lookups for as long as that lasts (two seconds
+         * were observed).
          */
         @Test
         void areLearnedFromRequestsThatFail() {
             plan.learnLeast(LOOKUP, took(0.1f));
             report(300, 0);
-            // Nine tenths of the slots do 90 lookups a second.
+            // Nine tenths of the slots serve 90 lookups a second.
             assertEquals(0.3, share(LOOKUP), 0.07);
         }
     }
@@ -140,7 +141,7 @@
             assertTrue(share("book", 1) < 0.6, () -> "book " + share("book", 1));
         }
 
-        /** Guards against organisations that starve since those before them ask for more than there is. */
+        /** Guards against starving organisations because those of higher rank ask for more than the capacity. */
         @Test
         void leaveEachAQuarterOfWhatAllGetAtTwiceTheLoadThatFits() {
             plan(asked("book", 0, 90), asked("lookup", 0, 90), asked("book", 1, 10), asked("lookup", 1, 10));
@@ -158,9 +159,9 @@
         private static final ServiceName FORMER = new ServiceName("former");
 
         /*
-         * A configuration sends the calls of a route to another service, and the copies of the former one are taken away. All
-         * requests of the route were refused from then on: what one had cost there never fell to nothing, and a service without
-         * copies has no room.
+         * A configuration change sends the calls of a route to another service, and the copies of the former one are
+         * removed. If the cost at the former service never fell to zero, all requests of the route would be refused
+         * from then on, because a service without copies has no capacity.
          */
         @Test
         void areForgottenWhereNoRequestHasThemAnyMore() {
@@ -204,8 +205,8 @@
         }
 
         /*
-         * Most copies of a service are gone, and a tenth of all that is offered is more than the rest can do. Were a tenth
-         * of every route let in all the same, the most important one would get no more than the others.
+         * Most copies of a service are gone, and a tenth of all requests exceeds the capacity of the rest. If a tenth
+         * of every route were admitted all the same, the most important route would get no more than the others.
          */
         @Test
         void isNotUsedUpByLeastShares() {
@@ -214,11 +215,14 @@
             assertTrue(share("lookup") < 0.1 && share("lookup") > 0, () -> "lookup " + share("lookup"));
         }
 
-        /** Equals get the same number of slots, so that neither the dear nor the cheap ones are pushed out. */
+        /**
+         * Routes of equal rank get the same number of slots, so that neither the expensive nor the cheap ones are
+         * displaced.
+         */
         @Test
         void isSharedBetweenEqualsByWhatTheyCost() {
             plan(100, 100, offered("lookup", 400), offered("price", 100));
-            // Beyond the least share, which both have.
+            // Compares what exceeds the minimum share, which both routes have.
             assertEquals(share("lookup") - 0.1, 4 * (share("price") - 0.1), 0.01);
         }
 
@@ -239,8 +243,9 @@
         }
 
         /*
-         * A service sheds most calls of a chain at its first, and the slots that the plan keeps for the rest stand idle,
-         * while other requests for it are refused. The plan grows until they are used, and falls back when they are.
+         * A service sheds most calls of a chain at its first call, and the slots planned for the remaining calls are
+         * idle while other requests for it are refused. The plan must grow until the slots are used, and fall back when
+         * they are.
          */
         @Test
         void growsWhileSlotsStandIdle() {
