--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/ChangeLog.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/ChangeLog.java
@@ -7,23 +7,25 @@
 import org.carawaysill.model.fleet.Revision;
 
 /**
- * Which entries changed what this node decides by, in the order in which they did, so that others are told only what they lack.
+ * Records which entries changed this node's state, in order of the changes, so that other nodes are sent only what they
+ * lack.
  *
- * <p>Most entries are written anew at each heartbeat of their copies and say nothing new; told whole, the entries of 95
- * copies and 1,400 routes are 230 kB for each node and change. Invariant: whoever has been told all up to a position, and is
- * told all that changed since, decides by nothing older than this node. Not thread safe: owned by the policy.
+ * <p>Most entries are rewritten at each heartbeat of their copies without other changes; sent in full, the entries of
+ * 95 copies and 1,400 routes are 230 kB for each node and change. Invariant: a node that has received everything up to
+ * a position, and then all entries that changed since, has no older state than this node. Not thread safe: owned by the
+ * policy.
  */
 public final class ChangeLog {
 
     private final Map<String, Change> changes = new HashMap<>();
     private long position;
-    private long forgottenPosition;
-    private Revision forgottenRevision = Revision.NONE;
+    private long discardedPosition;
+    private Revision discardedRevision = Revision.NONE;
 
     private record Change(long position, Revision revision) {}
 
     /**
-     * Notes that an entry changed something.
+     * Records that an entry changed this node's state.
      *
      * @param key the entry's key
      * @param at the platform's revision of the change
@@ -33,51 +35,53 @@
     }
 
     /**
-     * Notes that it is no longer known that an entry was removed.
+     * Discards the record of an entry whose removal is no longer remembered.
      *
      * @param key the entry's key
      */
     public void forget(String key) {
         Change change = changes.remove(key);
         if (change != null) {
-            forgottenPosition = Math.max(forgottenPosition, change.position());
-            forgottenRevision = forgottenRevision.newest(change.revision());
+            discardedPosition = Math.max(discardedPosition, change.position());
+            discardedRevision = discardedRevision.newest(change.revision());
         }
     }
 
     /**
-     * Returns how many changes there were since this process started.
+     * Returns the number of changes since this process started.
      *
-     * @return the position of the last change, 0 where nothing is known
+     * @return the position of the last change, 0 if there was none
      */
     public long position() {
         return position;
     }
 
     /**
-     * Returns whether all changes since a position are remembered; else others must be told which entries are left.
+     * Returns whether all changes since a position are remembered; otherwise other nodes must receive the full list of
+     * entries.
      *
      * @param since the position
      * @return whether they are
      */
     public boolean remembers(long since) {
-        return since >= forgottenPosition;
+        return since >= discardedPosition;
     }
 
     /**
-     * Returns whether all changes since a revision are remembered; else others must be told which entries are left.
+     * Returns whether all changes since a revision are remembered; otherwise other nodes must receive the full list of
+     * entries.
      *
      * @param since the revision
      * @return whether they are
      */
     public boolean remembers(Revision since) {
-        return since.compareTo(forgottenRevision) >= 0 || since.equals(Revision.NONE);
+        return since.compareTo(discardedRevision) >= 0 || since.equals(Revision.NONE);
     }
 
     /**
-     * Returns the entries that changed something.
+     * Returns the entries whose last change is later than a position.
      *
-     * @param since the position after which they did
+     * @param since the position
      * @return their keys
      */
     public List<String> since(long since) {
@@ -85,7 +89,7 @@
     }
 
     /**
-     * Returns the entries that changed something at a later revision, or in a later era.
+     * Returns the entries whose last change was at a later revision, or in a later era.
      *
      * @param since the revision
      * @return their keys
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/Eras.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/Eras.java
@@ -4,14 +4,15 @@
 import org.carawaysill.model.fleet.Revision;
 
 /**
- * Follows the eras that the platform tells with its answers.
+ * Tracks the era that the platform reports with its answers.
  *
- * <p>A new era begins when the platform comes back from an older copy: its revisions then go back and are given out again.
- * Invariant: where eras were told and one can't be read, the answer belongs to no known era. Not thread safe: owned by the policy.
+ * <p>A new era begins when the platform is restored from an older state: its revisions then go back and are assigned
+ * again. Invariant: if eras were reported before and one is unreadable, the answer belongs to no known era. Not thread
+ * safe: owned by the policy.
  */
 public final class Eras {
 
-    /** The era of a platform that has told none. */
+    /** The era of a platform that has reported none. */
     public static final long NOT_TOLD = 0;
 
     private long current = NOT_TOLD;
@@ -19,35 +20,35 @@
     private boolean knownToOthers;
     private boolean readable = true;
 
-    /** What an answer says of the era. */
+    /** How the era of an answer relates to that of the answer before. */
     public enum Change {
-        /** The first era that this node hears of, or the same again. */
+        /** The first era that this node receives, or the same one again. */
         NONE,
-        /** A later era: the platform came back from an older copy. */
+        /** A later era: the platform was restored from an older state. */
         BEGAN,
-        /** An earlier era than before. */
+        /** An earlier era than that of the answer before. */
         FELL,
-        /** No era, or one that can't be read, where the answer before had one or there was none before. */
+        /** A missing or unreadable era, after a readable one or in the first answer. */
         BECAME_UNREADABLE,
-        /** Still none that can be read. */
+        /** A missing or unreadable era, again. */
         STAYS_UNREADABLE
     }
 
     /**
-     * Receives the era of an answer.
+     * Takes in the era of an answer.
      *
-     * @param told the era; empty where there is none that can be read
-     * @return what that changes
+     * @param reported the era; empty if it is missing or unreadable
+     * @return how it relates to the era before
      */
-    public Change receive(OptionalLong told) {
-        if (told.isEmpty()) {
+    public Change receive(OptionalLong reported) {
+        if (reported.isEmpty()) {
             boolean before = readable;
             readable = false;
             return before ? Change.BECAME_UNREADABLE : Change.STAYS_UNREADABLE;
         }
         long last = current;
         boolean first = !known;
-        current = told.getAsLong();
+        current = reported.getAsLong();
         known = true;
         readable = true;
         if (first || current == last) {
@@ -57,9 +58,9 @@
     }
 
     /**
-     * Receives the era of what another node knows.
+     * Takes in the era of another node's state.
      *
-     * @param era the era; {@link #NOT_TOLD} where the platform told that node none
+     * @param era the era; {@link #NOT_TOLD} if the platform reported none to that node
      */
     public void heard(long era) {
         knownToOthers |= era != NOT_TOLD;
@@ -68,16 +69,18 @@
     /**
      * Returns the era of the last answer.
      *
-     * @return the era; {@link Revision#UNKNOWN_ERA} where it told none and others did, {@link #NOT_TOLD} where none did
+     * @return the era; {@link Revision#UNKNOWN_ERA} if it had none and other answers had one, {@link #NOT_TOLD} if none
+     *     ever had
      */
     public long current() {
         return isLost() ? Revision.UNKNOWN_ERA : current;
     }
 
     /**
-     * Returns whether the platform has told eras before, here or to others, and does not now, so that a return can't be seen.
+     * Returns whether the platform has reported eras before, to this node or to others, and now doesn't, so that a
+     * restore cannot be detected.
      *
-     * @return whether it has become unreadable
+     * @return whether the era has become unreadable
      */
     public boolean isLost() {
         return (known || knownToOthers) && !readable;
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
@@ -8,64 +8,64 @@
 import org.carawaysill.policy.fleet.FleetEvent.ReadFailure;
 
 /**
- * When this node reads at the platform, and whether it can.
+ * Schedules this node's reads of the platform and tracks whether they succeed.
  *
- * <p>Only the nodes that read for all do, and those that know nothing: who is told by others does not read to show that it
- * could. Invariants: at most one read at a time; the pause after a failed read is never shorter than {@link #SHORTEST_PAUSE}. Not
- * thread safe: owned by the policy.
+ * <p>Only the readers, which read on behalf of all nodes, and nodes without any state read; a node that receives
+ * updates from others does not read to prove that it could. Invariants: at most one read at a time; the pause after a
+ * failed read is never shorter than {@link #SHORTEST_PAUSE}. Not thread safe: owned by the policy.
  */
 public final class PlatformReads {
 
     /**
-     * The part of the time within which a leaving copy must be known everywhere that passes between two reads of a reader,
-     * and that the platform may hold a read. Copies write at each heartbeat, so that a read is nearly always answered at
-     * once and the pause sets the number of reads. With a fifth each, two readers can fail one after the other and the
-     * third is still in time.
+     * The divisor of the time within which a leaving copy must be known everywhere: the quotient is the pause between
+     * reads of a reader, and how long the platform may hold one. Copies write at each heartbeat, so nearly every read
+     * is answered at once and the pause sets their number. With a fifth each, two readers can fail in sequence and the
+     * third is in time.
      */
     private static final int PARTS_OF_DRAIN_LIMIT = 5;
 
-    /** The pause of a node whose reads fail while others read: it only shows that it could take over again. */
+    /** The pause of a failing node while others read: its reads only test whether it could take over again. */
     private static final Duration FAILING_PAUSE = Duration.ofSeconds(5);
 
     /**
-     * The time over which nodes that start together spread their first reads. Whoever has read connects to all others, which
-     * takes some 0.2 s; who is told by then need not read, and a complete read takes two calls or more, which the platform
-     * counts. The first of many nodes comes to its read within some 10 ms all the same, and a node that starts alone is told by
-     * the others as soon.
+     * The time over which nodes that start together spread their first reads. A node that has read connects to all
+     * others in some 0.2 s; nodes that receive its state by then need not read, and a complete read takes two or more
+     * of the calls that the platform counts. The first of many nodes still reads within some 10 ms, and a single new
+     * node is sent the state as soon.
      */
     private static final Duration START_SPREAD = Duration.ofSeconds(1);
 
-    /** How long a node that was told before its first read waits until it knows whether it is to read for others. */
-    private static final Duration TOLD_PAUSE = Duration.ofMillis(600);
+    /** How long a node that received state before its first read waits until it knows whether it is a reader. */
+    private static final Duration STATE_RECEIVED_PAUSE = Duration.ofMillis(600);
 
-    /** The pause after a failure; meanwhile others that can read do, see {@link #mayRead}. */
+    /** The pause after a failure; meanwhile other nodes read, see {@link #mayRead}. */
     static final Duration SHORTEST_PAUSE = Duration.ofMillis(200);
 
     /**
-     * How long after the platform's return an entry that is missing may be back: copies that could not send heartbeats
+     * How long after the platform's return a missing entry may reappear: copies that could not send heartbeats
      * meanwhile write again within about two seconds.
      */
     private static final Duration RETURN_GRACE = Duration.ofMillis(2500);
 
     /**
-     * How long an entry may be back that was there after the platform's return and was removed since: its copy can write
-     * again, and does so with its next heartbeat. With more, a copy that left would get work beyond the drain limit.
+     * How long an entry may reappear that was removed after the platform's return: its copy can write again, and does
+     * so with its next heartbeat. If this were longer, a copy that left would receive requests beyond the drain limit.
      */
     private static final Duration LAPSE_GRACE = Duration.ofMillis(1200);
 
     /**
-     * How long after the platform's return from an older copy an entry may still be there whose copy has left: it lapses after
+     * How long after a restore from an older state the entry of a copy that has left may be visible: it expires after
      * three heartbeats of silence, or is removed again.
      */
-    private static final Duration SHOWN_AGAIN_LIMIT = Duration.ofSeconds(6);
+    private static final Duration RESTORED_ENTRY_LIMIT = Duration.ofSeconds(6);
 
-    /** A reader's next read ends at most two paces after the last one, and some time for the answer. */
-    private static final int PACES_WITHOUT_GAP = 3;
+    /** A reader's next read ends at most two read intervals after the last one, plus some time for the answer. */
+    private static final int INTERVALS_WITHOUT_GAP = 3;
 
     private static final long NEVER = Long.MAX_VALUE;
 
     private final RandomGenerator random;
-    private final Duration pace;
+    private final Duration readInterval;
     private long nextNanos;
     private long sentNanos;
     private long lastNanos;
@@ -74,28 +74,28 @@
     private boolean reading;
     private boolean told;
     private boolean everything = true;
-    private boolean lastWasContinued;
-    private boolean continuous = true;
+    private boolean lastWasIncremental;
+    private boolean incremental = true;
     private boolean readable;
     private boolean failing;
     private long returnedNanos;
     private long othersFailedNanos;
     private long trustedNanos;
-    private long everythingNanos = NEVER;
+    private long completeReadNanos = NEVER;
 
     /**
-     * Starts with a read that is due soon.
+     * Creates a schedule with a read that is due soon.
      *
      * @param now the monotonic time
-     * @param drainLimit within which a leaving copy must be known everywhere
+     * @param drainLimit the time within which a leaving copy must be known everywhere
      * @param random the source of jitter
      */
     public PlatformReads(long now, Duration drainLimit, RandomGenerator random) {
         this.random = random;
-        pace = drainLimit.dividedBy(PARTS_OF_DRAIN_LIMIT);
+        readInterval = drainLimit.dividedBy(PARTS_OF_DRAIN_LIMIT);
         nextNanos = now + random.nextLong(START_SPREAD.toNanos());
         sentNanos = now;
-        lastNanos = now - pace.toNanos();
+        lastNanos = now - readInterval.toNanos();
         handoverUntilNanos = now;
         returnedNanos = now - RETURN_GRACE.toNanos();
         othersFailedNanos = returnedNanos;
@@ -103,22 +103,22 @@
     }
 
     /**
-     * Sets whether this node reads for others too.
+     * Sets whether this node is a reader.
      *
      * @param now the monotonic time
-     * @param forOthers whether it does
+     * @param isReader whether it is
      */
-    public void reader(long now, boolean forOthers) {
-        if (reader == forOthers) {
+    public void reader(long now, boolean isReader) {
+        if (reader == isReader) {
             return;
         }
-        reader = forOthers;
+        reader = isReader;
         if (!readable && !failing && !told) {
             // The first read is due in any case.
             return;
         }
         if (reader) {
-            nextNanos = Math.min(nextNanos, Math.max(now, lastNanos + pace.toNanos()));
+            nextNanos = Math.min(nextNanos, Math.max(now, lastNanos + readInterval.toNanos()));
         } else if (failing) {
             nextNanos = now + failingPause();
         } else if (othersFailedWithin(now)) {
@@ -131,10 +131,10 @@
     /**
      * Returns whether this node reads as a reader does.
      *
-     * <p>Guards against a removal that all readers hold back, since each of them failed before it took over from one that did
-     * not: that one goes on until its successor no longer does.
+     * <p>Guards against a removal that all readers withhold, each having failed before it took over from one that had
+     * not: that one continues until its successor no longer withholds removals.
      */
-    private boolean readsOn(long now) {
+    private boolean readsAsReader(long now) {
         return reader || now < handoverUntilNanos;
     }
 
@@ -143,19 +143,19 @@
     }
 
     /**
-     * Notes that another node told what it knows.
+     * Notes that another node sent its state.
      *
      * @param now the monotonic time
      */
     public void told(long now) {
         if (!told && !readable && !failing) {
-            nextNanos = now + TOLD_PAUSE.toNanos();
+            nextNanos = now + STATE_RECEIVED_PAUSE.toNanos();
         }
         told = true;
     }
 
     /**
-     * Lets the next read be one of everything, at once.
+     * Makes the next read a complete one, due at once.
      *
      * @param now the monotonic time
      */
@@ -165,59 +165,59 @@
     }
 
     /**
-     * Sets whether each read is one of everything, since the platform does not tell whether changes continue the last read.
+     * Sets whether each read is complete, because the platform doesn't report whether changes are gapless.
      *
-     * @param always whether it is
+     * @param always whether each read is complete
      */
     public void everythingEachTime(boolean always) {
-        continuous = !always;
+        incremental = !always;
     }
 
     /**
-     * Notes that the platform came back from an older copy, by its own word or that of another node.
+     * Notes that the platform was restored from an older state, as reported by itself or by another node.
      *
      * @param now the monotonic time
      */
     public void eraBegan(long now) {
-        trustedNanos = now + SHOWN_AGAIN_LIMIT.toNanos();
+        trustedNanos = now + RESTORED_ENTRY_LIMIT.toNanos();
     }
 
     /**
-     * Reads everything once the platform is trusted to show what holds, if it is not yet.
+     * Schedules a complete read for when the platform's state is trusted, if it is not yet.
      *
      * @param now the monotonic time
      */
     public void everythingOnceTrusted(long now) {
         if (now < trustedNanos) {
-            everythingNanos = trustedNanos;
+            completeReadNanos = trustedNanos;
         }
     }
 
     /**
-     * Starts what is due by the time alone.
+     * Makes a scheduled complete read due when its time has come.
      *
      * @param now the monotonic time
      */
     public void passTime(long now) {
-        if (now >= everythingNanos) {
-            everythingNanos = NEVER;
+        if (now >= completeReadNanos) {
+            completeReadNanos = NEVER;
             everythingAt(now);
         }
     }
 
     /**
-     * Returns whether the platform shows what holds: not soon after it came back from an older copy, nor soon after this node
-     * started, which may be then.
+     * Returns whether the platform's state is current. It may not be soon after a restore from an older state, nor soon
+     * after this node's start, which may coincide with one.
      *
      * @param now the monotonic time
-     * @return whether it does
+     * @return whether it is
      */
     public boolean trustsWhatIsShown(long now) {
         return now >= trustedNanos;
     }
 
     /**
-     * Notes that another node lately failed to read.
+     * Notes that another node recently failed to read.
      *
      * @param now the monotonic time
      */
@@ -233,7 +233,7 @@
     /**
      * Returns when the next read is due.
      *
-     * @return the monotonic time, {@link Long#MAX_VALUE} while a read is under way
+     * @return the monotonic time, {@link Long#MAX_VALUE} while a read is in progress
      */
     public long dueNanos() {
         return reading ? Long.MAX_VALUE : nextNanos;
@@ -243,26 +243,27 @@
      * Starts a read.
      *
      * @param now the monotonic time
-     * @param asOf up to which revision everything is known
+     * @param asOf the revision up to which everything is known
      * @return the read
      */
     public FleetEffect.ReadEntries start(long now, Revision asOf) {
         reading = true;
         sentNanos = now;
-        return everything || !continuous || asOf.equals(Revision.NONE)
+        return everything || !incremental || asOf.equals(Revision.NONE)
                 ? new FleetEffect.ReadEntries(OptionalLong.empty(), Duration.ZERO)
-                : new FleetEffect.ReadEntries(OptionalLong.of(asOf.number()), readsOn(now) ? pace : Duration.ZERO);
+                : new FleetEffect.ReadEntries(
+                        OptionalLong.of(asOf.number()), readsAsReader(now) ? readInterval : Duration.ZERO);
     }
 
     /**
      * Notes that a read succeeded.
      *
      * @param now the monotonic time
-     * @param otherEra whether the platform's revisions belong to another era than those of the read before
+     * @param otherEra whether the platform's revisions belong to another era than those of the last read
      * @return whether reads failed before, or this is the first one
      */
     public boolean succeeded(long now, boolean otherEra) {
-        boolean back = !readable;
+        boolean recovered = !readable;
         if (otherEra) {
             eraBegan(now);
         }
@@ -270,32 +271,32 @@
         if (returned) {
             returnedNanos = now;
         }
-        lastWasContinued = !returned && !everything;
+        lastWasIncremental = !returned && !everything;
         reading = false;
         readable = true;
         failing = false;
         everything = false;
         lastNanos = now;
-        nextNanos = readsOn(now) ? now + pace.toNanos() : NEVER;
-        return back;
+        nextNanos = readsAsReader(now) ? now + readInterval.toNanos() : NEVER;
+        return recovered;
     }
 
     /**
-     * Returns whether others read meanwhile, so that the platform may have been away without a sign here.
+     * Returns whether this node did not read while others did, so that it may have missed an outage of the platform.
      *
-     * <p>Guards against copies that are taken for gone since they could not write while the platform was away, which shows as
-     * no copy in reach for two seconds after its return: the node that takes over from the readers that failed has not
-     * failed itself, and finds most entries missing.
+     * <p>Guards against taking copies for gone that could not write during an outage, which shows as no reachable copy
+     * for two seconds after the platform's return: a node that takes over from failed readers has not failed itself,
+     * and finds most entries missing.
      */
     private boolean hadGap(long now) {
-        return everything || now - lastNanos > PACES_WITHOUT_GAP * pace.toNanos();
+        return everything || now - lastNanos > INTERVALS_WITHOUT_GAP * readInterval.toNanos();
     }
 
     /**
      * Notes that a read failed.
      *
      * @param now the monotonic time
-     * @param failure how
+     * @param failure the kind of failure
      * @return whether reads succeeded before, or this is the first one
      */
     public boolean failed(long now, ReadFailure failure) {
@@ -314,7 +315,7 @@
     }
 
     /**
-     * Returns whether this node could read for others: its last read, if there was one, did not fail.
+     * Returns whether this node could be a reader: its last read, if any, did not fail.
      *
      * @return whether it could
      */
@@ -323,19 +324,19 @@
     }
 
     /**
-     * Returns for how long the present read has been under way.
+     * Returns for how long the current read has been in progress.
      *
      * @param now the monotonic time
-     * @return nanoseconds, 0 where there is none
+     * @return nanoseconds, 0 if there is none
      */
     public long waitingNanos(long now) {
         return reading ? now - sentNanos : 0;
     }
 
     /**
-     * Returns until when a copy is to write an entry again that the platform has lost.
+     * Returns the time by which a copy should have rewritten an entry that the platform lost.
      *
-     * @param now the monotonic time at which this node hears of the entry
+     * @param now the monotonic time at which this node learns of the loss
      * @return the monotonic time
      */
     public long expectedUntilNanos(long now) {
@@ -343,19 +344,19 @@
     }
 
     /**
-     * Returns until when an entry that turned out to be missing in the last answer may be back.
+     * Returns the time until which an entry that the last answer lacks may reappear.
      *
-     * <p>Guards against a copy that leaves right after all readers took over from others that failed, and gets work from nodes
-     * that wait for its entry as if it had lapsed while the platform was away.
+     * <p>Guards against a copy that leaves right after all readers took over from failed ones, and receives requests
+     * from nodes that wait for its entry as if it had expired during an outage of the platform.
      *
      * @param now the monotonic time
-     * @return the monotonic time, not after {@code now} where a missing entry is gone
+     * @return the monotonic time, not after {@code now} if a missing entry is gone
      */
     public long returnsUntilNanos(long now) {
         if (!readable) {
             return now + RETURN_GRACE.toNanos();
         }
         long afterReturn = returnedNanos + RETURN_GRACE.toNanos();
-        return lastWasContinued ? Math.min(afterReturn, now + LAPSE_GRACE.toNanos()) : afterReturn;
+        return lastWasIncremental ? Math.min(afterReturn, now + LAPSE_GRACE.toNanos()) : afterReturn;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/PublicationDecoder.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/PublicationDecoder.java
@@ -4,17 +4,17 @@
 import org.carawaysill.model.fleet.EntryVersion;
 import org.carawaysill.model.fleet.FleetConfiguration;
 
-/** Understands the text of published entries. Implementations are stateless and thread safe. */
+/** Decodes the text of published entries. Implementations are stateless and thread safe. */
 @FunctionalInterface
 public interface PublicationDecoder {
 
-    /** What an entry says. Immutable and thread safe. */
+    /** The content of an entry. Immutable and thread safe. */
     sealed interface Publication {
 
         /**
-         * Returns the place of the entry in the order of its writer.
+         * Returns the entry's position in the order of its writer.
          *
-         * @return the version; {@link EntryVersion#NONE} where the entry tells none
+         * @return the version; {@link EntryVersion#NONE} if the entry has none
          */
         default EntryVersion version() {
             return switch (this) {
@@ -33,19 +33,17 @@
         record Configured(FleetConfiguration configuration) implements Publication {}
 
         /**
-         * An upstream copy.
+         * The record of an upstream copy.
          *
-         * @param copy the copy
+         * @param copy the record
          */
         record Listed(CopyRecord copy) implements Publication {}
 
-        /**
-         * Something that this product does not use.
-         */
+        /** An entry that this product does not use. */
         record Irrelevant() implements Publication {}
 
         /**
-         * Something that should be understood, and can't be.
+         * An entry of a known kind that cannot be decoded.
          *
          * @param fault what is wrong, and where
          */
@@ -53,11 +51,11 @@
     }
 
     /**
-     * Reads an entry.
+     * Decodes an entry.
      *
-     * @param key what the entry is about
+     * @param key the entry's key
      * @param text its value
-     * @return what it says
+     * @return its content
      */
     Publication decode(String key, String text);
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/PublishedEntries.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/PublishedEntries.java
@@ -14,75 +14,76 @@
 import org.carawaysill.model.fleet.Revision;
 
 /**
- * The published entries that this node knows, whoever told it.
+ * The published entries that this node knows, from any source.
  *
- * <p>Within an era the platform counts one revision up over all entries; across eras the writers' own order decides. So
- * entries from the platform and from other nodes merge in any order, also while the platform shows an older copy. Invariant:
- * of two forms of an entry, the one that {@linkplain KnownEntry#supersedes supersedes} the other stays. Not thread safe: owned
- * by the policy.
+ * <p>Within an era the platform numbers the revisions of all entries in one sequence; across eras the writers' own
+ * versions decide. So entries from the platform and from other nodes can be merged in any order, also while the
+ * platform serves an older state. Invariant: of two forms of an entry, the one that {@linkplain KnownEntry#supersedes
+ * supersedes} the other is kept. Not thread safe: owned by the policy.
  */
 public final class PublishedEntries {
 
     /**
-     * How long others are told that an entry was removed: longer than a node stays cut off from both the platform and the
-     * others on any known occasion. After that the memory for it is given back, about 300 bytes for each copy that left.
+     * How long the removal of an entry is remembered and sent to other nodes: longer than a node stays disconnected
+     * from both the platform and the other nodes in any known case. Afterwards the memory, about 300 bytes for each
+     * copy that left, is freed.
      */
-    private static final Duration REMOVAL_TOLD = Duration.ofMinutes(5);
+    private static final Duration REMOVAL_RETENTION = Duration.ofMinutes(5);
 
-    private static final long NOT_SEEN = Long.MAX_VALUE;
+    private static final long NOT_TIMED = Long.MAX_VALUE;
 
     private final Map<String, KnownEntry> entries = new HashMap<>();
     private final Map<String, Long> removedNanos = new HashMap<>();
     private Revision asOf = Revision.NONE;
-    private Revision forgottenUpTo = Revision.NONE;
+    private Revision discardedUpTo = Revision.NONE;
 
     /**
-     * Receives changes that the platform gave. In an era other than that of the last read they are no continuation of it:
+     * Merges changes that the platform reported. In another era than that of the last read they do not continue it:
      * {@link #asOf} stays until everything is read.
      *
-     * @param givenAsOf all changes up to this revision have been given
+     * @param readRevision the revision up to which all changes are included
      * @param given the changes
-     * @return those that replace what was known
+     * @return the entries that replace known ones
      */
-    public List<KnownEntry> mergeChanges(Revision givenAsOf, List<KnownEntry> given) {
+    public List<KnownEntry> mergeChanges(Revision readRevision, List<KnownEntry> given) {
         List<KnownEntry> newer = new ArrayList<>();
         given.forEach(entry -> acceptIfNewer(entry, newer));
-        if (givenAsOf.isAfter(asOf)) {
-            asOf = givenAsOf;
+        if (readRevision.isAfter(asOf)) {
+            asOf = readRevision;
         }
         return newer;
     }
 
     /**
-     * Receives all that the platform holds.
+     * Merges a complete list of the platform's entries.
      *
-     * <p>Guards against a copy that has left and gets work again, since the platform came back from a copy that still shows it:
-     * what is known to be removed stays so, unless the platform is trusted to show what holds.
+     * <p>Guards against sending requests again to a copy that has left, because the platform was restored from an older
+     * state that still contains it: an entry known as removed stays removed, unless the platform's state is trusted.
      *
-     * @param givenAsOf as of when
-     * @param trusted whether an entry that is there holds although it is known to be removed
+     * @param readRevision the revision of the list
+     * @param trusted whether a listed entry is valid although it is known as removed
      * @param given all entries
-     * @return those that replace what was known, removed ones among them
+     * @return the entries that replace known ones, including removed ones
      */
-    public List<KnownEntry> mergeAll(Revision givenAsOf, boolean trusted, List<KnownEntry> given) {
+    public List<KnownEntry> mergeAll(Revision readRevision, boolean trusted, List<KnownEntry> given) {
         List<KnownEntry> newer = new ArrayList<>();
         for (KnownEntry entry : given) {
             KnownEntry known = entries.get(entry.key());
-            boolean restored = trusted && known != null && known.isRemoved() && isCoveredBy(givenAsOf, known);
-            acceptIfNewer(restored ? entry.restored(givenAsOf.next(), known.version()) : entry, newer);
+            boolean restored = trusted && known != null && known.isRemoved() && isCoveredBy(readRevision, known);
+            acceptIfNewer(restored ? entry.restored(readRevision.next(), known.version()) : entry, newer);
         }
         Set<String> shown = keys(given);
-        removeMissing(shown, known -> isCoveredBy(givenAsOf, known), givenAsOf, newer);
-        confirm(shown, givenAsOf);
-        asOf = givenAsOf;
+        removeMissing(shown, known -> isCoveredBy(readRevision, known), readRevision, newer);
+        confirm(shown, readRevision);
+        asOf = readRevision;
         return newer;
     }
 
     /**
-     * Returns whether the platform shows an entry that is known to be removed.
+     * Returns whether the platform lists an entry that is known as removed.
      *
-     * @param shown what the platform shows
-     * @return whether this node goes on taking one of them for removed
+     * @param shown the listed entries
+     * @return whether this node still takes one of them for removed
      */
     public boolean contradicts(List<KnownEntry> shown) {
         return shown.stream()
@@ -90,32 +91,35 @@
                 .anyMatch(known -> known != null && known.isRemoved());
     }
 
-    /** Everything of an earlier era that was written by then, and nothing of this one that was written later. */
-    private static boolean isCoveredBy(Revision givenAsOf, KnownEntry known) {
-        return !known.revision().isAfter(givenAsOf);
+    /**
+     * Returns whether a read covers an entry: all of earlier eras up to its revision, and nothing of its own era that
+     * was written later.
+     */
+    private static boolean isCoveredBy(Revision readRevision, KnownEntry known) {
+        return !known.revision().isAfter(readRevision);
     }
 
-    /** Takes over into the era of a whole read what it leaves as it was known. */
-    private void confirm(Set<String> shown, Revision givenAsOf) {
+    /** Moves the entries that a complete read confirms into the era of that read. */
+    private void confirm(Set<String> shown, Revision readRevision) {
         entries.replaceAll(
-                (key, known) -> !known.revision().isSameEra(givenAsOf) && (known.isRemoved() || shown.contains(key))
-                        ? known.asOf(givenAsOf)
+                (key, known) -> !known.revision().isSameEra(readRevision) && (known.isRemoved() || shown.contains(key))
+                        ? known.asOf(readRevision)
                         : known);
     }
 
     /**
-     * Receives what another node told. It does not say up to which revision everything is known: the other node holds
-     * back removals that it does not trust yet, and the platform is to tell them here.
+     * Merges entries that another node sent. This does not advance {@link #asOf}: the other node may withhold removals
+     * that it does not trust yet, and the platform must report them to this node.
      *
-     * @param upTo the revision as of which they were told
-     * @param complete whether entries that are not given don't exist
+     * @param upTo the revision as of which they were sent
+     * @param complete whether entries that are not included don't exist
      * @param given the entries
-     * @return those that replace what was known, removed ones among them
+     * @return the entries that replace known ones, including removed ones
      */
     public List<KnownEntry> mergeTold(Revision upTo, boolean complete, List<KnownEntry> given) {
         List<KnownEntry> newer = new ArrayList<>();
         for (KnownEntry entry : given) {
-            if (entries.containsKey(entry.key()) || !isForgotten(entry.revision())) {
+            if (entries.containsKey(entry.key()) || !isDiscarded(entry.revision())) {
                 acceptIfNewer(entry, newer);
             }
         }
@@ -127,13 +131,14 @@
     }
 
     /**
-     * Guards against a copy that comes back from the dead, which shows as requests to an address that another service
-     * has by now: a node that was cut off for long still tells an entry whose removal is forgotten here. All up to
-     * {@link #asOf}, and up to the last removal that was forgotten, is known, so what is unknown and not newer was removed.
+     * Returns whether an unknown entry was removed and its removal discarded here. Guards against restoring a copy that
+     * is gone, which shows as requests to an address that another service uses by now: a node that was disconnected for
+     * long still sends its entry. Everything up to {@link #asOf}, and up to the last discarded removal, is known, so an
+     * unknown entry that is not newer was removed.
      */
-    private boolean isForgotten(Revision revision) {
+    private boolean isDiscarded(Revision revision) {
         return revision.isSameEra(asOf) && !revision.isAfter(asOf)
-                || revision.isSameEra(forgottenUpTo) && !revision.isAfter(forgottenUpTo);
+                || revision.isSameEra(discardedUpTo) && !revision.isAfter(discardedUpTo);
     }
 
     private void acceptIfNewer(KnownEntry entry, List<KnownEntry> newer) {
@@ -142,7 +147,7 @@
             entries.put(entry.key(), entry);
             newer.add(entry);
             if (entry.isRemoved()) {
-                removedNanos.put(entry.key(), NOT_SEEN);
+                removedNanos.put(entry.key(), NOT_TIMED);
             } else {
                 removedNanos.remove(entry.key());
             }
@@ -164,7 +169,7 @@
     }
 
     /**
-     * Tells up to which revision the platform told everything.
+     * Returns the revision up to which the platform reported everything.
      *
      * @return the revision, {@link Revision#NONE} before the first read
      */
@@ -173,10 +178,10 @@
     }
 
     /**
-     * Returns the place of an entry in the order of its writer, as far as it is known.
+     * Returns the position of an entry in the order of its writer, as far as it is known.
      *
      * @param key the entry's key
-     * @return the version, {@link EntryVersion#NONE} of an entry that is not known
+     * @return the version, {@link EntryVersion#NONE} for an unknown entry
      */
     public EntryVersion version(String key) {
         KnownEntry known = entries.get(key);
@@ -184,15 +189,15 @@
     }
 
     /**
-     * Counts the entries that are known in a form that a copy of the platform does not have.
+     * Counts the known entries that are newer than the state from which the platform was restored.
      *
-     * @param copyAsOf the revision at which the platform came back
-     * @return how many were written in an earlier era after that revision
+     * @param restoredAsOf the revision of that state
+     * @return the number of entries that were written in an earlier era after that revision
      */
-    public int writtenAfter(Revision copyAsOf) {
+    public int writtenAfter(Revision restoredAsOf) {
         return (int) entries.values().stream()
-                .filter(entry -> !entry.revision().isSameEra(copyAsOf))
-                .filter(entry -> entry.revision().number() > copyAsOf.number())
+                .filter(entry -> !entry.revision().isSameEra(restoredAsOf))
+                .filter(entry -> entry.revision().number() > restoredAsOf.number())
                 .count();
     }
 
@@ -200,26 +205,26 @@
      * Finds an entry.
      *
      * @param key its key
-     * @return the entry, also one that was removed, as long as that is remembered
+     * @return the entry, also a removed one while its removal is remembered
      */
     public Optional<KnownEntry> find(String key) {
         return Optional.ofNullable(entries.get(key));
     }
 
     /**
-     * Forgets the entries whose removal was told to others for long enough.
+     * Discards the entries whose removal was remembered for long enough.
      *
      * @param now the monotonic time
-     * @return the keys of what was forgotten
+     * @return the keys of the discarded entries
      */
     public List<String> forgetRemoved(long now) {
-        removedNanos.replaceAll((_, since) -> since == NOT_SEEN ? now : since);
+        removedNanos.replaceAll((_, since) -> since == NOT_TIMED ? now : since);
         List<String> old = removedNanos.entrySet().stream()
-                .filter(removed -> now - removed.getValue() > REMOVAL_TOLD.toNanos())
+                .filter(removed -> now - removed.getValue() > REMOVAL_RETENTION.toNanos())
                 .map(Map.Entry::getKey)
                 .toList();
         for (String key : old) {
-            forgottenUpTo = forgottenUpTo.newest(entries.remove(key).revision());
+            discardedUpTo = discardedUpTo.newest(entries.remove(key).revision());
         }
         old.forEach(removedNanos::remove);
         return old;
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/package-info.java
@@ -1,4 +1,4 @@
-/** What the platform published, how it is read, and how nodes pass it on. */
+/** The published entries: how they are read from the platform, merged, and passed on between nodes. */
 @NullMarked
 package org.carawaysill.policy.fleet.publication;
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/ChangeLogTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/ChangeLogTest.java
@@ -29,7 +29,7 @@
             assertEquals(2, changes.position());
         }
 
-        /* Guards against a change that others are not told, since the platform gave its revision out before. */
+        /* Guards against omitting a change because the platform assigned its revision before. */
         @Test
         void doesNotDependOnTheOrderOfRevisions() {
             changes.changed("a", at(9));
@@ -40,8 +40,8 @@
         }
 
         /*
-         * A node was cut off for longer than removals are remembered. Told only what changed since, it would go on sending
-         * requests to copies that are long gone: it must be told what is left.
+         * A node was disconnected for longer than removals are remembered. If it received only the recent changes, it
+         * would go on sending requests to copies that are gone: it must receive the full list.
          */
         @Test
         void saysWhenRemovalsAreForgotten() {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/ErasTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/ErasTest.java
@@ -57,7 +57,10 @@
             assertFalse(eras.isLost());
         }
 
-        /* Guards against a node that reads for the first time, and takes what no era is told with for all of one era. */
+        /*
+         * Guards against a node whose first answer has no era, and which takes all answers without an era as belonging
+         * to one era.
+         */
         @Test
         void areALossWhereOthersWereToldOne() {
             eras.heard(4);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/PlatformReadsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/PlatformReadsTest.java
@@ -34,8 +34,8 @@
         }
 
         /*
-         * All nodes of a fleet start at once. Each that read everything although it had just been told cost the platform two
-         * calls or more; it must know first whether it is to read for the others.
+         * All nodes of a fleet start at once. Each that reads everything although it has just received another node's
+         * state costs the platform two calls or more; a node must first know whether it is a reader.
          */
         @Test
         void waitsWhereOthersHaveToldAndReadsNeverUnlessItIsAReader() {
@@ -62,9 +62,9 @@
         }
 
         /*
-         * The platform was down for so long that all entries of copies lapsed, and is back. The node that takes over from the
-         * readers has not failed itself, finds no copy, and would have told all others that there is none, for the two seconds
-         * until the copies have written again.
+         * The platform was down for so long that all entries of copies expired, and is back. The node that takes over
+         * from the readers has not failed itself and finds no copy. It must not report to all others that there is none
+         * during the two seconds until the copies have written again.
          */
         @Test
         void waitsForEntriesThatMayComeBackWhereOthersFailed() {
@@ -82,7 +82,7 @@
             assertTrue(reads.returnsUntilNanos(9 * SECOND) <= 9 * SECOND);
         }
 
-        /** One node that is turned away must not delay what a reader sees that has read all the time. */
+        /** A node that the platform rejects must not delay what a reader without gaps reports. */
         @Test
         void trustsAReaderWithoutAGapWhereOthersFail() {
             reads.reader(0, true);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/PublishedEntriesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/PublishedEntriesTest.java
@@ -61,8 +61,9 @@
         }
 
         /*
-         * A copy was removed, and minutes later a node that had been cut off all the time told its entry. Were that taken in,
-         * requests would go to an address that another service may use by then: the platform tells a removal once.
+         * A copy is removed, and minutes later a node that was disconnected all the time sends its entry. If the entry
+         * were merged, requests would go to an address that another service may use by then, because the platform
+         * reports a removal only once.
          */
         @Test
         void takesNoEntryBackWhoseRemovalItForgot() {
@@ -87,8 +88,9 @@
         }
 
         /*
-         * A node could not read the platform for a while and was told everything by another one, which holds back a removal
-         * that it does not trust yet. Were the told revision taken for read, the platform would never tell the removal.
+         * A node cannot read the platform for a while and receives everything from another node, which withholds a
+         * removal that it does not trust yet. If the received revision counted as read, the platform would never report
+         * the removal.
          */
         @Test
         void goesOnReadingFromWhereThePlatformStopped() {
@@ -98,7 +100,7 @@
         }
     }
 
-    /** The platform came back from an older copy: era 2 begins at revision 20, era 1 had come to 30. */
+    /** The platform was restored from an older state: era 2 begins at revision 20, era 1 had reached 30. */
     @Nested
     class Returns {
 
@@ -122,7 +124,7 @@
             assertEquals(revision, known.revision());
         }
 
-        /* Guards against a copy that has left and gets work, since the platform shows it as ready again. */
+        /* Guards against sending requests to a copy that has left because the platform lists it as ready again. */
         @Test
         void leaveACopyThatHasLeft() {
             know(copy(BEFORE, 4, Stage.LEAVING));
@@ -130,7 +132,7 @@
             assertKnown(new EntryVersion(100, 4, Stage.LEAVING), RETURNED);
         }
 
-        /* Guards against the same where copies do not count their writes. */
+        /* Guards against the same if copies do not number their writes. */
         @Test
         void leaveACopyThatHasLeftAndDoesNotCount() {
             know(copy(BEFORE, 0, Stage.LEAVING));
@@ -139,7 +141,7 @@
             assertEquals(back, entries.mergeChanges(new Revision(2, 21), back));
         }
 
-        /* Guards against a change that is refused, since its revision was given out before. */
+        /* Guards against rejecting a change because its revision was assigned before. */
         @Test
         void takeWhatIsWrittenAtARevisionOfBefore() {
             know(copy(BEFORE, 4, Stage.PRESENT));
@@ -148,7 +150,7 @@
             assertEquals(leaves, entries.mergeChanges(new Revision(2, 21), leaves));
         }
 
-        /* Guards against a node that started on the older copy and refuses what others know. */
+        /* Guards against a node that started with the older state and rejects what others know. */
         @Test
         void takeWhatOthersKnowFromBefore() {
             entries.mergeAll(RETURNED, false, List.of(copy(SHOWN, 3, Stage.PRESENT)));
@@ -156,14 +158,14 @@
             assertEquals(told, entries.mergeTold(BEFORE, false, told));
         }
 
-        /* Guards against a node that has not read yet and takes the older copy for newer by its era. */
+        /* Guards against a node that has not read yet and takes the older state for newer because of its era. */
         @Test
         void doNotTakeWhatOthersReadOfTheOlderCopy() {
             know(copy(BEFORE, 4, Stage.LEAVING));
             assertEquals(List.of(), entries.mergeTold(SHOWN, false, List.of(copy(SHOWN, 3, Stage.PRESENT))));
         }
 
-        /* Guards against a copy that was removed and gets work, and against one that lives and never gets any again. */
+        /* Guards against sending requests to a removed copy, and against never sending any to a running one. */
         @Test
         void restoreARemovedCopyOnlyOnceThePlatformIsTrusted() {
             know(copy(BEFORE, 4, Stage.REMOVED));
@@ -177,7 +179,7 @@
             assertEquals(restored, others.mergeTold(RETURNED, false, restored));
         }
 
-        /* Guards against changes of another era that are taken for a continuation: what was written before is missed. */
+        /* Guards against taking changes of another era for a continuation, which misses what was written before. */
         @Test
         void areNotContinuedByAWatch() {
             know(copy(BEFORE, 4, Stage.PRESENT));
@@ -192,7 +194,7 @@
         }
     }
 
-    /** Versions told by several sources in any order end in the newest of each key. */
+    /** Versions received from several sources in any order result in the newest of each key. */
     @Property(seed = "5")
     void endsAlikeInAnyOrder(@ForAll List<@IntRange(min = 1, max = 40) Integer> revisions) {
         Map<String, Long> newest = new HashMap<>();
@@ -241,8 +243,8 @@
         }
 
         /*
-         * The platform turns away the node that reads for its zone. It says so to the others, and the next in rank takes
-         * over without a word between them.
+         * The platform rejects the node that reads for its zone. That node reports this to the others, and the next in
+         * rank takes over without further messages.
          */
         @Test
         void isTakenOverWhereAReaderCanNotRead() {
