--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/CrashCauses.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/CrashCauses.java
@@ -9,19 +9,21 @@
 import org.carawaysill.model.request.Fingerprint;
 
 /**
- * The requests that are taken for causes of crashes, and what that says of others.
+ * Determines which suspected requests are taken for causes of crashes, and which suspicions of others follow from that.
  *
- * <p>One whose crashes all have other causes was there by coincidence, and is none. Those with the fewest crashes are looked at
- * first, in an order that is the same on all nodes. Immutable, as long as the suspects don't change.
+ * <p>A request whose crashes are all explained by other causes was in flight by coincidence and is no cause. Requests
+ * with the fewest crashes are examined first, in an order that is the same on all nodes. Immutable, as long as the
+ * suspects don't change.
  */
 final class CrashCauses {
 
     private final List<Suspect> causes;
-    private final Set<Long> certain;
+    private final Set<Long> explainedByCertain;
 
     CrashCauses(Collection<Suspect> suspects) {
         causes = find(suspects);
-        certain = crashesOf(causes.stream().filter(Suspect::isCertain).toList());
+        explainedByCertain =
+                crashesOf(causes.stream().filter(Suspect::isCertain).toList());
     }
 
     private static List<Suspect> find(Collection<Suspect> suspects) {
@@ -42,20 +44,21 @@
 
     private static Set<Long> crashesOf(List<Suspect> suspects) {
         Set<Long> crashes = new HashSet<>();
-        suspects.forEach(suspect -> crashes.addAll(suspect.possible()));
+        suspects.forEach(suspect -> crashes.addAll(suspect.possiblyCaused()));
         return crashes;
     }
 
     /**
-     * All crashes whose cause is beyond doubt.
+     * Returns the crashes whose cause is certain.
      *
-     * <p>Guards against one request that is taken for the cause by coincidence and makes the next one look guilty too.
+     * <p>Guards against a request that is taken for a cause by coincidence and then makes the next one look like a
+     * cause too.
      */
     Set<Long> explained() {
-        return new HashSet<>(certain);
+        return new HashSet<>(explainedByCertain);
     }
 
-    /** For how many crashes a request is still suspected: not for those that another one is the cause of beyond doubt. */
+    /** Returns for how many crashes a request is still suspected: not for those with another, certain cause. */
     int openCrashes(Suspect suspect) {
         if (causes.contains(suspect)) {
             return suspect.uncleared().size();
@@ -63,8 +66,8 @@
         if (suspect.isCause()) {
             return 0;
         }
-        Set<Long> left = suspect.uncleared();
-        left.removeAll(certain);
-        return left.size();
+        Set<Long> remaining = suspect.uncleared();
+        remaining.removeAll(explainedByCertain);
+        return remaining.size();
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Fingerprints.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Fingerprints.java
@@ -12,35 +12,35 @@
 import org.carawaysill.model.request.RequestContent;
 
 /**
- * Computes fingerprints.
+ * Computes fingerprints of requests.
  *
- * <p>Invariant: two requests have the same one only if service, caller, path with query, and body are the same. A
- * cryptographic digest guards against a caller who makes a crashing request that collides with another one's: that one would
- * be refused in its place. Not thread safe: owned by the policy.
+ * <p>Invariant: two requests have the same fingerprint only if service, caller, path with query, and body are equal. A
+ * cryptographic digest guards against a caller that crafts a crashing request whose fingerprint collides with that of
+ * another caller's request, which would then be refused. Not thread safe: owned by the policy.
  */
 public final class Fingerprints {
 
-    /** The field that names the caller where no keys are checked (RFC 9110, section 11.6.2). */
+    /** The header field that identifies the caller where no keys are checked (RFC 9110, section 11.6.2). */
     private static final String CALLER_FIELD = "authorization";
 
     private static final String ALGORITHM = "SHA-256";
 
     private final MessageDigest digest;
 
-    /** Makes a computer of fingerprints. */
+    /** Creates a calculator of fingerprints. */
     public Fingerprints() {
         try {
             digest = MessageDigest.getInstance(ALGORITHM);
         } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("each Java platform has " + ALGORITHM, missing);
+            throw new IllegalStateException("every Java platform must support " + ALGORITHM, missing);
         }
     }
 
     /**
      * Computes the fingerprint of a request.
      *
-     * @param service where it goes
-     * @param organisation the organisation whose key it carried; empty where it carried none
+     * @param service the service that it is for
+     * @param organisation the organisation whose key it carried; empty if it carried none
      * @param content the request
      * @return its fingerprint
      */
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Computes what names one start of a copy.
+     * Computes an identifier of one start of a copy.
      *
-     * @param record what is published of it
-     * @return the same for the same start on all nodes
+     * @param record the published record of the copy
+     * @return the identifier, which is the same on all nodes
      */
     public long start(CopyRecord record) {
         add(record.copy().value());
@@ -68,7 +68,7 @@
         return ByteBuffer.wrap(digest.digest()).getLong();
     }
 
-    /** Adds a text with its length, so that the end of one can't pass for the beginning of the next. */
+    /** Adds a text with its length, so that bytes cannot move from one text to the next. */
     private void add(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Standing.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Standing.java
@@ -2,24 +2,25 @@
 
 import org.carawaysill.model.request.Fingerprint;
 
-/** What is known of a request when it comes. Immutable and thread safe. */
+/** Whether a request is suspected or quarantined, as known when it arrives. Immutable and thread safe. */
 public sealed interface Standing {
 
-    /** No copy crashed under it, or a copy has answered it since. */
+    /** No copy crashed while it ran the request, or a copy has answered it since. */
     record Clear() implements Standing {}
 
     /**
-     * Copies crashed while they ran it and others.
+     * Copies crashed while they ran the request together with others.
      *
-     * @param fingerprint the request
-     * @param crashes how many
+     * @param fingerprint the request's fingerprint
+     * @param crashes the number of crashes
      */
     record Suspected(Fingerprint fingerprint, int crashes) implements Standing {
 
         /**
-         * Returns whether one more crash under it and another suspect would still not tell which of them is the cause.
+         * Returns whether the request must run alone, because one more crash of a copy that runs it and another suspect
+         * would still not show which of them is the cause.
          *
-         * @return whether it must run without any other suspect beside it
+         * @return whether it must run without any other suspect
          */
         public boolean mustRunAlone() {
             return crashes > 1;
@@ -27,11 +28,11 @@
     }
 
     /**
-     * Copies crashed because of it.
+     * Copies crashed because of the request.
      *
-     * @param fingerprint the request
-     * @param crashes how many
-     * @param remainingNanos how much longer it is refused
+     * @param fingerprint the request's fingerprint
+     * @param crashes the number of crashes
+     * @param remainingNanos for how much longer it is refused
      */
     record Quarantined(Fingerprint fingerprint, int crashes, long remainingNanos) implements Standing {}
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Suspect.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Suspect.java
@@ -8,32 +8,34 @@
 import org.carawaysill.policy.message.Suspicion;
 
 /**
- * What one node knows of one request under which copies crashed.
+ * The state that one node keeps of one request during which copies crashed.
  *
- * <p>Invariant: what was told of it only grows. Not thread safe: owned by its table.
+ * <p>Invariant: the reported facts only grow. Not thread safe: owned by its table.
  */
 final class Suspect {
 
     /**
-     * How long a request is refused after it was found to be the cause of two crashes. After that it may run once more, alone
-     * and at one copy: one that was found guilty by coincidence is not kept out for good.
+     * How long a request is refused after it was found to be the cause of two crashes. Afterwards it may run once more,
+     * alone and at one copy, so that a request that was taken for a cause by coincidence is not refused forever.
      */
     static final Duration QUARANTINE = Duration.ofMinutes(10);
 
-    /** From this number of crashes on a request is their cause beyond coincidence, and is refused for good. */
-    static final int FINAL_CRASHES = 3;
+    /**
+     * From this number of crashes on, coincidence is ruled out: the request is their cause and is refused permanently.
+     */
+    static final int CERTAIN_CRASHES = 3;
 
-    /** How long a request that was suspected and did not come again is remembered. */
-    static final Duration SUSPECTED_FOR = Duration.ofMinutes(10);
+    /** How long a suspected request that did not arrive again is remembered. */
+    static final Duration SUSPICION_RETENTION = Duration.ofMinutes(10);
 
-    /** For good: longer than a process lasts. */
-    private static final Duration FINAL_QUARANTINE = Duration.ofDays(30);
+    /** The duration of a permanent quarantine: longer than a process lasts. */
+    private static final Duration PERMANENT_QUARANTINE = Duration.ofDays(30);
 
-    /** How long it is remembered that a suspicion was cleared: others may still tell the suspicion. */
-    private static final Duration CLEARED_FOR = Duration.ofMinutes(1);
+    /** How long it is remembered that a suspicion was cleared, since other nodes may still send the suspicion. */
+    private static final Duration CLEARED_RETENTION = Duration.ofMinutes(1);
 
-    /** How long one that was refused is remembered after it may run again. */
-    private static final Duration REMEMBERED_AFTER_QUARANTINE = Duration.ofHours(1);
+    /** How long a quarantined request is remembered after its quarantine. */
+    private static final Duration QUARANTINE_RETENTION = Duration.ofHours(1);
 
     private final Fingerprint fingerprint;
     private final ServiceName service;
@@ -59,7 +61,7 @@
         return service;
     }
 
-    /** When something of it last changed. */
+    /** Returns when the state last changed. */
     long changedNanos() {
         return changedNanos;
     }
@@ -69,7 +71,7 @@
         changedNanos = now;
     }
 
-    /** Notes that it was there at a crash of which others were suspected already. */
+    /** Notes that the request was in flight at a crash for which others were already suspected. */
     void witnessed(long now, long start) {
         witnessed.add(start);
         changedNanos = now;
@@ -80,25 +82,25 @@
         changedNanos = now;
     }
 
-    /** Takes it for the cause of all crashes that it was not cleared of. */
+    /** Quarantines the request as the cause of all crashes that it was not cleared of. */
     void quarantine(long now) {
         int known = uncleared().size();
         if (known > quarantinedAt) {
             quarantinedAt = known;
-            Duration length = known >= FINAL_CRASHES ? FINAL_QUARANTINE : QUARANTINE;
+            Duration length = known >= CERTAIN_CRASHES ? PERMANENT_QUARANTINE : QUARANTINE;
             quarantinedUntilNanos = now + length.toNanos();
             changedNanos = now;
         }
     }
 
-    /** Joins what another node knows; tells whether anything of it was new. */
-    boolean join(long now, Suspicion told) {
-        boolean news = crashes.addAll(told.crashes());
-        news |= witnessed.addAll(told.witnessed());
-        news |= cleared.addAll(told.cleared());
-        if (told.quarantinedAt() > quarantinedAt) {
-            quarantinedAt = told.quarantinedAt();
-            quarantinedUntilNanos = now + told.remainingNanos();
+    /** Merges the state of another node; returns whether any of it was new. */
+    boolean join(long now, Suspicion received) {
+        boolean news = crashes.addAll(received.crashes());
+        news |= witnessed.addAll(received.witnessed());
+        news |= cleared.addAll(received.cleared());
+        if (received.quarantinedAt() > quarantinedAt) {
+            quarantinedAt = received.quarantinedAt();
+            quarantinedUntilNanos = now + received.remainingNanos();
             news = true;
         }
         if (news) {
@@ -112,22 +114,22 @@
         return new Suspicion(fingerprint, crashes, witnessed, cleared, quarantinedAt, remaining);
     }
 
-    /** The crashes that no answer since has cleared it of. */
+    /** Returns the crashes that no later answer has cleared the request of. */
     Set<Long> uncleared() {
         Set<Long> left = new HashSet<>(crashes);
         left.removeAll(cleared);
         return left;
     }
 
-    /** The crashes that it can be the cause of. */
-    Set<Long> possible() {
-        Set<Long> possible = uncleared();
-        possible.addAll(witnessed);
-        return possible;
+    /** Returns the crashes of which the request may be the cause. */
+    Set<Long> possiblyCaused() {
+        Set<Long> possiblyCaused = uncleared();
+        possiblyCaused.addAll(witnessed);
+        return possiblyCaused;
     }
 
-    /** Sets for how many crashes it is still suspected, by all that is known of others. */
-    void open(int count) {
+    /** Sets for how many crashes the request is still suspected, given the state of all suspects. */
+    void setOpenCrashes(int count) {
         openCrashes = count;
     }
 
@@ -135,12 +137,12 @@
         return openCrashes > 0;
     }
 
-    /** Returns whether it was under so many crashes that the others under them are free of suspicion. */
+    /** Returns whether the request was in flight at so many crashes that the others in flight at them are cleared. */
     boolean isCertain() {
-        return uncleared().size() >= FINAL_CRASHES;
+        return uncleared().size() >= CERTAIN_CRASHES;
     }
 
-    /** Returns whether it is taken for the cause of crashes; an answer since then has shown that it is not. */
+    /** Returns whether the request is taken for the cause of crashes and no answer since then has cleared it. */
     boolean isCause() {
         return quarantinedAt > 0 && uncleared().size() >= quarantinedAt;
     }
@@ -158,17 +160,20 @@
                 : new Standing.Suspected(fingerprint, openCrashes);
     }
 
-    boolean isForgotten(long now) {
+    boolean isExpired(long now) {
         if (!isOpen()) {
-            return now - changedNanos > CLEARED_FOR.toNanos();
+            return now - changedNanos > CLEARED_RETENTION.toNanos();
         }
         return quarantinedAt > 0
-                ? now - quarantinedUntilNanos > REMEMBERED_AFTER_QUARANTINE.toNanos()
-                : now - changedNanos > SUSPECTED_FOR.toNanos();
+                ? now - quarantinedUntilNanos > QUARANTINE_RETENTION.toNanos()
+                : now - changedNanos > SUSPICION_RETENTION.toNanos();
     }
 
-    /** What is kept longest where there is no room: what is refused, then what is suspected, then what is cleared. */
-    int worth() {
+    /**
+     * Returns the retention priority when the table is full: quarantined requests are kept longest, then suspected
+     * ones, then cleared ones.
+     */
+    int retentionPriority() {
         return uncleared().isEmpty() ? 0 : 1 + quarantinedAt;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/SuspectTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/SuspectTable.java
@@ -13,64 +13,66 @@
 import org.carawaysill.policy.message.Suspicion;
 
 /**
- * Tracks requests suspected of crashing upstream copies.
+ * Tracks requests that are suspected of crashing upstream copies.
  *
- * <p>Invariants: what others tell is joined by union, so that order, repeats and several paths do no harm; never more than
- * {@link #MAX_SUSPECTS}. Not thread safe: owned by the policy.
+ * <p>Invariants: the state of other nodes is merged by union, so that order, repetition and multiple paths do no harm;
+ * the table never holds more than {@link #MAX_SUSPECTS} requests. Not thread safe: owned by the policy.
  */
 public final class SuspectTable {
 
-    /** Some twenty crashes of copies with 200 slots, under 1 MB. */
+    /** The capacity: the requests of some twenty crashes of copies with 200 slots, less than 1 MB. */
     static final int MAX_SUSPECTS = 4096;
 
     /** Crashes within this window are evidence of a common cause. */
     static final Duration CORRELATION_WINDOW = Duration.ofSeconds(30);
 
-    /** Share of entries evicted when the table is full: one in eight. */
+    /** The divisor of the part of the table that is evicted when it is full: one in eight. */
     private static final int EVICTION_DIVISOR = 8;
 
-    /** Before any crash; far enough from the smallest number for a sum. */
+    /**
+     * The time of the last crash before any occurred; far enough from the smallest number to avoid overflow in sums.
+     */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** Starts of copies that are remembered to have crashed: their entries lapse within seconds. */
-    private static final int MOST_STARTS = 512;
+    /** How many starts of copies are remembered to have crashed: their entries expire within seconds. */
+    private static final int MAXIMUM_STARTS = 512;
 
     private final Map<Fingerprint, Suspect> suspects = new HashMap<>();
     private final Map<Long, Crash> crashesByStart = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Crash> eldest) {
-            return size() > MOST_STARTS;
+            return size() > MAXIMUM_STARTS;
         }
     };
 
     private long lastCrashNanos = NEVER;
-    private int open;
-    private boolean isStale = true;
+    private int openSuspects;
+    private boolean isCurrent = true;
 
-    /** When this node heard of the crash of a copy. */
-    private record Crash(ServiceName service, long heardNanos) {}
+    /** The service of a crashed copy, and when this node learned of the crash. */
+    private record Crash(ServiceName service, long learnedNanos) {}
 
     /**
      * Returns whether no request is suspected or quarantined.
      *
-     * @return whether none is suspected or refused
+     * @return whether the table has no such request
      */
     public boolean isEmpty() {
         return size() == 0;
     }
 
     /**
-     * Returns how many requests are suspected or refused.
+     * Returns how many requests are suspected or quarantined.
      *
      * @return their number
      */
     public int size() {
         recompute();
-        return open;
+        return openSuspects;
     }
 
     /**
-     * Returns how many requests are refused.
+     * Returns how many requests are quarantined.
      *
      * @param now the monotonic time
      * @return their number
@@ -82,20 +84,21 @@
                 .count();
     }
 
-    /** Works out what each request is still suspected for. */
+    /** Recomputes for how many crashes each request is still suspected, if the state has changed. */
     private void recompute() {
-        if (!isStale) {
-            isStale = true;
+        if (!isCurrent) {
+            isCurrent = true;
             CrashCauses causes = new CrashCauses(suspects.values());
-            suspects.values().forEach(suspect -> suspect.open(causes.openCrashes(suspect)));
-            open = (int) suspects.values().stream().filter(Suspect::isOpen).count();
+            suspects.values().forEach(suspect -> suspect.setOpenCrashes(causes.openCrashes(suspect)));
+            openSuspects =
+                    (int) suspects.values().stream().filter(Suspect::isOpen).count();
         }
     }
 
     /**
-     * Returns whether a start of a copy is known to have ended by a crash.
+     * Returns whether a start of a copy is known to have ended with a crash.
      *
-     * @param start the start
+     * @param start the identifier of the start
      * @return whether it has
      */
     public boolean hasCrashed(long start) {
@@ -103,58 +106,59 @@
     }
 
     /**
-     * Returns when this node last heard of the crash of a copy.
+     * Returns when this node last learned of the crash of a copy.
      *
-     * @return the monotonic time, long ago where it has heard of none
+     * @return the monotonic time, or a time far in the past if it never did
      */
     public long lastCrashNanos() {
         return lastCrashNanos;
     }
 
     /**
-     * Returns whether one more crash under a request, with no other suspect beside it, shows that it is the cause.
+     * Returns whether one more crash while a copy runs a request, with no other suspect in flight, shows that the
+     * request is the cause.
      *
-     * <p>The second shows it, unless copies of the service lately crashed also without it, for a cause that is not certain. Where
-     * copies go down and up for reasons of their own, requests that are tried again would be refused for being at two of them;
-     * there the third crash shows it.
+     * <p>The second such crash shows it, unless copies of the service recently crashed also without the request and for
+     * a cause that is not certain. Where copies go down and up for other reasons, retried requests would otherwise be
+     * refused because they were in flight at two of them; there the third crash shows it.
      *
      * @param now the monotonic time
-     * @param service the service of the copy that crashed
-     * @param fingerprint the request, which is suspected
-     * @return whether it is
+     * @param service the service of the crashed copy
+     * @param fingerprint the suspected request's fingerprint
+     * @return whether it does
      */
     public boolean wouldBeCause(long now, ServiceName service, Fingerprint fingerprint) {
-        Set<Long> ofItself = suspects.get(fingerprint).uncleared();
-        if (ofItself.size() + 1 >= Suspect.FINAL_CRASHES) {
+        Set<Long> ownCrashes = suspects.get(fingerprint).uncleared();
+        if (ownCrashes.size() + 1 >= Suspect.CERTAIN_CRASHES) {
             return true;
         }
         Set<Long> explained = new CrashCauses(suspects.values()).explained();
-        explained.addAll(ofItself);
+        explained.addAll(ownCrashes);
         return crashesByStart.entrySet().stream()
                 .filter(crash -> crash.getValue().service().equals(service))
-                .filter(crash -> now - crash.getValue().heardNanos() < CORRELATION_WINDOW.toNanos())
+                .filter(crash -> now - crash.getValue().learnedNanos() < CORRELATION_WINDOW.toNanos())
                 .allMatch(crash -> explained.contains(crash.getKey()));
     }
 
     /**
-     * Forgets what has not mattered for long.
+     * Removes requests that have not changed for long.
      *
      * @param now the monotonic time
-     * @return how many requests were forgotten that were suspected
+     * @return how many suspected requests were removed
      */
     public int forget(long now) {
         int before = size();
-        suspects.values().removeIf(suspect -> suspect.isForgotten(now));
-        isStale = false;
+        suspects.values().removeIf(suspect -> suspect.isExpired(now));
+        isCurrent = false;
         return before - size();
     }
 
     /**
-     * Returns what is known of a request.
+     * Returns the standing of a request.
      *
      * @param now the monotonic time
-     * @param fingerprint the request
-     * @return its standing
+     * @param fingerprint the request's fingerprint
+     * @return the standing
      */
     public Standing standing(long now, Fingerprint fingerprint) {
         recompute();
@@ -167,87 +171,87 @@
      *
      * @param now the monotonic time
      * @param service the service of the copy
-     * @param start the copy's start
-     * @param fingerprint the request
+     * @param start the identifier of the copy's start
+     * @param fingerprint the request's fingerprint
      */
     public void suspect(long now, ServiceName service, long start, Fingerprint fingerprint) {
         suspect(now, service, fingerprint).crashed(now, start);
-        heard(now, service, start);
-        isStale = false;
+        recordCrash(now, service, start);
+        isCurrent = false;
     }
 
     /**
-     * Notes that a request was at a copy when it crashed, beside others that were suspected already.
+     * Notes that a request was in flight at a copy when it crashed, beside others that were already suspected.
      *
-     * <p>It is not suspected for that. But if it is found to be the cause of other crashes, it is the likely cause of this one
-     * too, and one of those others may have been there by coincidence.
+     * <p>This alone does not make it suspected. But if it is found to be the cause of other crashes, it is the likely
+     * cause of this one too, and one of the suspected requests may have been in flight by coincidence.
      *
      * @param now the monotonic time
      * @param service the service of the copy
-     * @param start the copy's start
-     * @param fingerprint the request
+     * @param start the identifier of the copy's start
+     * @param fingerprint the request's fingerprint
      */
     public void witness(long now, ServiceName service, long start, Fingerprint fingerprint) {
         suspect(now, service, fingerprint).witnessed(now, start);
-        heard(now, service, start);
-        isStale = false;
+        recordCrash(now, service, start);
+        isCurrent = false;
     }
 
     /**
-     * Notes that a request is the cause of the crashes under it.
+     * Notes that a request is the cause of the crashes during which it ran.
      *
      * @param now the monotonic time
-     * @param fingerprint the request; nothing happens where it is not known
+     * @param fingerprint the request's fingerprint; nothing happens if it is unknown
      */
     public void quarantine(long now, Fingerprint fingerprint) {
         Optional.ofNullable(suspects.get(fingerprint)).ifPresent(suspect -> suspect.quarantine(now));
-        isStale = false;
+        isCurrent = false;
     }
 
     /**
-     * Notes that a copy answered a request, which therefore is not the cause of the crashes before.
+     * Notes that a copy answered a request, which therefore is not the cause of the earlier crashes.
      *
      * @param now the monotonic time
-     * @param fingerprint the request; nothing happens where it is not known
+     * @param fingerprint the request's fingerprint; nothing happens if it is unknown
      */
     public void clear(long now, Fingerprint fingerprint) {
         Optional.ofNullable(suspects.get(fingerprint)).ifPresent(suspect -> suspect.answered(now));
-        isStale = false;
+        isCurrent = false;
     }
 
     /**
-     * Joins what another node knows.
+     * Merges the state of another node.
      *
      * @param now the monotonic time
-     * @param service the service of the copies that crashed
-     * @param told what it knows
-     * @return whether anything of it was new
+     * @param service the service of the crashed copies
+     * @param received the state
+     * @return whether any of it was new
      */
-    public boolean join(long now, ServiceName service, Suspicion told) {
-        boolean news = suspect(now, service, told.fingerprint()).join(now, told);
-        told.crashes().forEach(start -> heard(now, service, start));
-        told.witnessed().forEach(start -> heard(now, service, start));
-        isStale = false;
+    public boolean join(long now, ServiceName service, Suspicion received) {
+        boolean news = suspect(now, service, received.fingerprint()).join(now, received);
+        received.crashes().forEach(start -> recordCrash(now, service, start));
+        received.witnessed().forEach(start -> recordCrash(now, service, start));
+        isCurrent = false;
         return news;
     }
 
     /**
-     * Returns what others should know of a request.
+     * Returns the state of a request that other nodes should receive.
      *
      * @param now the monotonic time
-     * @param fingerprint the request
-     * @return what is known, empty where nothing is
+     * @param fingerprint the request's fingerprint
+     * @return the state, empty if the request is unknown
      */
     public Optional<Suspicion> suspicion(long now, Fingerprint fingerprint) {
         return Optional.ofNullable(suspects.get(fingerprint)).map(suspect -> suspect.suspicion(now));
     }
 
     /**
-     * Returns all that is known of requests to one service.
+     * Returns the state of all known requests to one service.
      *
      * @param now the monotonic time
      * @param service the service
-     * @return what is known
+     * @return the states
      */
     public List<Suspicion> suspicions(long now, ServiceName service) {
         return suspects.values().stream()
@@ -256,7 +260,7 @@
                 .toList();
     }
 
-    private void heard(long now, ServiceName service, long start) {
+    private void recordCrash(long now, ServiceName service, long start) {
         if (crashesByStart.putIfAbsent(start, new Crash(service, now)) == null) {
             lastCrashNanos = now;
         }
@@ -264,15 +268,15 @@
 
     private Suspect suspect(long now, ServiceName service, Fingerprint fingerprint) {
         if (!suspects.containsKey(fingerprint) && suspects.size() >= MAX_SUSPECTS) {
-            forgetLeastWorth();
+            evict();
         }
         return suspects.computeIfAbsent(fingerprint, _ -> new Suspect(now, fingerprint, service));
     }
 
-    /** Makes room for several at once, since a crash brings as many as the copy has slots. */
-    private void forgetLeastWorth() {
+    /** Evicts several requests at once, since a crash adds as many as the copy has slots. */
+    private void evict() {
         List<Suspect> least = suspects.values().stream()
-                .sorted(Comparator.comparingInt(Suspect::worth).thenComparingLong(Suspect::changedNanos))
+                .sorted(Comparator.comparingInt(Suspect::retentionPriority).thenComparingLong(Suspect::changedNanos))
                 .limit(MAX_SUSPECTS / EVICTION_DIVISOR)
                 .toList();
         least.forEach(suspect -> suspects.remove(suspect.fingerprint()));
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/package-info.java
@@ -1,4 +1,4 @@
-/** Requests under which copies crashed: who is suspected, who is refused, and where a suspect may still run. */
+/** Requests during which copies crashed: which are suspected, which are quarantined, and how to identify them. */
 @NullMarked
 package org.carawaysill.policy.fleet.quarantine;
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/quarantine/FingerprintsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/quarantine/FingerprintsTest.java
@@ -39,7 +39,7 @@
         assertNotEquals(one, of("bills", "key", "/a/1?x", "other"));
     }
 
-    /** A caller can't move bytes from one part to the next to come by another one's fingerprint. */
+    /** A caller must not obtain another request's fingerprint by moving bytes from one part to the next. */
     @Test
     void differWhereTheSameBytesArePartedOtherwise() {
         assertNotEquals(of("bills", "key", "/a/b", ""), of("bills", "key/a", "/b", ""));
--- a/policy/src/test/java/org/carawaysill/policy/fleet/quarantine/SuspectTableTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/quarantine/SuspectTableTest.java
@@ -33,7 +33,7 @@
         }
     }
 
-    private void crashOf(Fingerprint cause, long start) {
+    private void quarantineAfterCrash(Fingerprint cause, long start) {
         crash(start, cause);
         table.quarantine(0, cause);
     }
@@ -73,11 +73,11 @@
             assertEquals(new Standing.Suspected(CAUSE, 1), table.standing(0, CAUSE));
         }
 
-        /** A copy has answered it although it was refused: it was handed over before. */
+        /** A copy answers the request although it is quarantined: it was sent to the copy before. */
         @Test
         void areClearAfterAnAnswerAlsoInQuarantine() {
             crash(10, CAUSE);
-            crashOf(CAUSE, 11);
+            quarantineAfterCrash(CAUSE, 11);
             table.clear(0, CAUSE);
             assertTrue(isClear(CAUSE));
         }
@@ -89,7 +89,7 @@
         @Test
         void endAfterTenMinutesFollowingTwoCrashes() {
             crash(10, CAUSE);
-            crashOf(CAUSE, 11);
+            quarantineAfterCrash(CAUSE, 11);
             long end = Suspect.QUARANTINE.toNanos();
             assertInstanceOf(Standing.Quarantined.class, table.standing(end - 1, CAUSE));
             Standing.Suspected after = assertInstanceOf(Standing.Suspected.class, table.standing(end, CAUSE));
@@ -100,15 +100,16 @@
         void lastForGoodFromTheThirdCrashOn() {
             crash(10, CAUSE);
             crash(11, CAUSE);
-            crashOf(CAUSE, 12);
+            quarantineAfterCrash(CAUSE, 12);
             long later = Duration.ofDays(20).toNanos();
             table.forget(later);
             assertInstanceOf(Standing.Quarantined.class, table.standing(later, CAUSE));
         }
 
         /*
-         * A clerk's request is tried again after a crash, and is alone at another copy when a request that nobody knows yet
-         * ends that one. It would be refused for ten minutes; once the causes of both crashes are known, it is free.
+         * A harmless request is retried after a crash and runs alone at another copy when a still unknown request
+         * crashes that one. It would be refused for ten minutes; once the causes of both crashes are known, it is
+         * cleared.
          */
         @Test
         void endWhereAllCrashesHaveOtherCauses() {
@@ -118,9 +119,9 @@
             assertTrue(isClear(number(3)));
             table.quarantine(0, OTHER);
             assertInstanceOf(Standing.Quarantined.class, table.standing(0, OTHER));
-            crashOf(CAUSE, 12);
+            quarantineAfterCrash(CAUSE, 12);
             crash(13, number(3));
-            crashOf(number(3), 14);
+            quarantineAfterCrash(number(3), 14);
             assertTrue(isClear(OTHER));
             assertInstanceOf(Standing.Quarantined.class, table.standing(0, CAUSE));
             assertInstanceOf(Standing.Quarantined.class, table.standing(0, number(3)));
@@ -129,9 +130,9 @@
         @Test
         void freeOthersOfTheSameCrashesFromTheThirdOn() {
             crash(10, CAUSE, OTHER);
-            crashOf(CAUSE, 11);
+            quarantineAfterCrash(CAUSE, 11);
             assertFalse(isClear(OTHER));
-            crashOf(CAUSE, 12);
+            quarantineAfterCrash(CAUSE, 12);
             assertTrue(isClear(OTHER));
         }
 
@@ -153,7 +154,7 @@
         @Test
         void keepWhatIsRefusedBeforeWhatIsSuspected() {
             crash(10, CAUSE);
-            crashOf(CAUSE, 11);
+            quarantineAfterCrash(CAUSE, 11);
             for (int i = 0; i < 2 * SuspectTable.MAX_SUSPECTS; i++) {
                 table.suspect(i, SERVICE, i, number(i + 10));
             }
@@ -165,17 +166,17 @@
         @Test
         void forgetWhatDoesNotComeAgain() {
             crash(10, CAUSE, OTHER);
-            assertEquals(0, table.forget(Suspect.SUSPECTED_FOR.toNanos()));
-            assertEquals(2, table.forget(Suspect.SUSPECTED_FOR.toNanos() + 1));
+            assertEquals(0, table.forget(Suspect.SUSPICION_RETENTION.toNanos()));
+            assertEquals(2, table.forget(Suspect.SUSPICION_RETENTION.toNanos() + 1));
             assertTrue(table.isEmpty());
         }
     }
 
-    /** Whatever the order in which news come, and however often, nodes that have heard the same believe the same. */
+    /** Nodes that have received the same reports have the same state, whatever the order and number of the reports. */
     @Property(tries = 200)
     void joinsToTheSameInAnyOrder(@ForAll Random random) {
         SuspectTable first = new SuspectTable();
-        List<Suspicion> news = new ArrayList<>();
+        List<Suspicion> reports = new ArrayList<>();
         for (int step = 0; step < 30; step++) {
             Fingerprint request = number(random.nextInt(5));
             switch (random.nextInt(5)) {
@@ -184,12 +185,12 @@
                 case 1 -> first.quarantine(0, request);
                 default -> first.suspect(0, SERVICE, random.nextInt(8), request);
             }
-            first.suspicion(0, request).ifPresent(news::add);
+            first.suspicion(0, request).ifPresent(reports::add);
         }
-        news.addAll(List.copyOf(news));
-        Collections.shuffle(news, random);
+        reports.addAll(List.copyOf(reports));
+        Collections.shuffle(reports, random);
         SuspectTable second = new SuspectTable();
-        news.forEach(told -> second.join(0, SERVICE, told));
+        reports.forEach(report -> second.join(0, SERVICE, report));
         for (int i = 0; i < 5; i++) {
             assertEquals(first.standing(0, number(i)), second.standing(0, number(i)));
         }
