--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
@@ -17,10 +17,10 @@
 public final class PlatformReads {
 
     /**
-     * The divisor of the time within which a leaving copy must be known everywhere: the quotient is the pause between
-     * reads of a reader, and how long the platform may hold one. Copies write at each heartbeat, so nearly every read
-     * is answered at once and the pause sets their number. With a fifth each, two readers can fail in sequence and the
-     * third is in time.
+     * Divisor of the time within which a leaving copy must be known everywhere; gives the pause between a reader's
+     * reads and how long the platform may hold one. Copies write at each heartbeat, so reads are answered nearly at
+     * once and the pause sets their number. With a fifth each, two readers can fail in sequence and the third is in
+     * time.
      */
     private static final int PARTS_OF_DRAIN_LIMIT = 5;
 
@@ -285,8 +285,8 @@
      * Returns whether this node did not read while others did, so that it may have missed an outage of the platform.
      *
      * <p>Guards against taking copies for gone that could not write during an outage, which shows as no reachable copy
-     * for two seconds after the platform's return: a node that takes over from failed readers has not failed itself,
-     * and finds most entries missing.
+     * for two seconds after its end: a node that takes over from failed readers has not failed itself and finds most
+     * entries missing.
      */
     private boolean hadGap(long now) {
         return everything || now - lastNanos > INTERVALS_WITHOUT_GAP * readInterval.toNanos();
