--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/Aggregators.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/Aggregators.java
@@ -7,42 +7,50 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * Which nodes sum up for their availability zone, by what one node knows of the others.
+ * The nodes that aggregate the reports of each availability zone, as one node determines them from its view of the
+ * fleet.
  *
- * <p>In each zone they are the two of lowest rank that can be reached: all nodes of the zone report to both, so that none of
- * them is blind when one goes. The first one, the primary, adds up what callers ask. Nodes that differ in whom they can reach
- * may report to different ones; each of these tells the others of those that report to it, so that all are known all the
- * same. Immutable and thread safe.
+ * <p>In each zone they are the two reachable nodes of lowest rank. All nodes of the zone report to both, so that none
+ * is without information when one fails. The first one, the primary, sums up the demand. Nodes that differ in which
+ * nodes they can reach may report to different aggregators; each aggregator sends the others the state of the nodes
+ * that report to it, so that all nodes become known nevertheless. Immutable and thread safe.
  */
 public final class Aggregators {
 
-    /** One that goes, and one that stays: each more costs a message for each node and interval. */
-    private static final int IN_ZONE = 2;
+    /**
+     * The number of aggregators of a zone: if one fails, one is left. Each more would cost a message for each node and
+     * interval.
+     */
+    private static final int AGGREGATORS_PER_ZONE = 2;
 
     private final Map<AvailabilityZone, List<NodeName>> byZone = new HashMap<>();
 
     /**
-     * Finds them.
+     * Determines the aggregators of all zones.
      *
-     * @param reachable the nodes that can be reached, by their zone
+     * @param reachable the reachable nodes, by their zone
      */
     public Aggregators(Map<AvailabilityZone, List<NodeName>> reachable) {
         reachable.forEach((zone, nodes) -> byZone.put(
-                zone, nodes.stream().sorted(NodeRank.ORDER).limit(IN_ZONE).toList()));
+                zone,
+                nodes.stream()
+                        .sorted(NodeRank.ORDER)
+                        .limit(AGGREGATORS_PER_ZONE)
+                        .toList()));
     }
 
     /**
-     * Gives those of one zone, the primary first.
+     * Returns the aggregators of one zone, the primary first.
      *
      * @param zone the zone
-     * @return one or two nodes; none where no node of the zone can be reached
+     * @return one or two nodes; none if no node of the zone is reachable
      */
     public List<NodeName> of(AvailabilityZone zone) {
         return byZone.getOrDefault(zone, List.of());
     }
 
     /**
-     * Gives those of all zones.
+     * Returns the aggregators of all zones.
      *
      * @return the nodes
      */
--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/Group.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/Group.java
@@ -9,26 +9,27 @@
 import org.carawaysill.policy.message.StateSummary.NodeState;
 
 /**
- * The nodes that report to this one, so that it sums them up.
+ * Aggregates the reports of the nodes that report to this one.
  *
- * <p>Whoever gets such reports sums up; no election has to agree on it. Not thread safe: owned by the policy.
+ * <p>Any node that receives such reports aggregates them, without an election. Not thread safe: owned by the policy.
  */
 public final class Group {
 
     /**
-     * A node that has not reported for so long is not listed, and gets no work of those who have not heard it themselves:
-     * two reports missed, and the time in which the operating system sends a lost packet again.
+     * A node that has not reported for this long is omitted from the summary, and receives no requests from nodes that
+     * have not heard from it themselves: the time of two missed reports, plus the time for a retransmission of a lost
+     * packet.
      */
-    static final Duration LISTED_FOR = Duration.ofMillis(1100);
+    static final Duration REPORT_VALIDITY = Duration.ofMillis(1100);
 
     private final LatestByNode<NodeReport> members = new LatestByNode<>();
 
     /**
-     * Receives a report that is to be summed up.
+     * Takes in a report of a member.
      *
      * @param now the monotonic time
-     * @param node who reports
-     * @param report what it says
+     * @param node the reporting node
+     * @param report the report
      */
     public void reported(long now, NodeName node, NodeReport report) {
         members.put(now, node, report);
@@ -44,12 +45,12 @@
     }
 
     /**
-     * Forgets who reports no more.
+     * Removes the members that have stopped reporting.
      *
      * @param now the monotonic time
      */
     public void passTime(long now) {
-        members.dropOlderThan(now, LISTED_FOR);
+        members.dropOlderThan(now, REPORT_VALIDITY);
     }
 
     /**
@@ -62,10 +63,10 @@
     }
 
     /**
-     * Sums up.
+     * Returns the summary of the members.
      *
      * @param self this node
-     * @param own its own report, with demands and costs where no other node adds them up
+     * @param own its own report, including demands and costs if no other node sums them up
      * @return the state of the members and of this node
      */
     public StateSummary summary(NodeName self, NodeReport own) {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/LatestByNode.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/LatestByNode.java
@@ -9,20 +9,20 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * What each of several nodes told last, for as long as that counts.
+ * Keeps the latest value from each of several nodes, until it expires.
  *
  * <p>Not thread safe: owned by the policy.
  *
- * @param <V> what they tell
+ * @param <V> the type of the values
  */
 final class LatestByNode<V> {
 
-    private final Map<NodeName, Told<V>> byNode = new HashMap<>();
+    private final Map<NodeName, Received<V>> byNode = new HashMap<>();
 
-    private record Told<V>(V value, long nanos) {}
+    private record Received<V>(V value, long nanos) {}
 
     void put(long now, NodeName node, V value) {
-        byNode.put(node, new Told<>(value, now));
+        byNode.put(node, new Received<>(value, now));
     }
 
     void remove(NodeName node) {
@@ -30,22 +30,22 @@
     }
 
     void dropOlderThan(long now, Duration age) {
-        byNode.values().removeIf(told -> now - told.nanos() > age.toNanos());
+        byNode.values().removeIf(received -> now - received.nanos() > age.toNanos());
     }
 
     List<NodeName> nodes() {
         return List.copyOf(byNode.keySet());
     }
 
-    /** Returns what they told, the latest last. */
+    /** Returns the values, the latest last. */
     List<V> values() {
         return byNode.values().stream()
-                .sorted(Comparator.comparingLong(Told::nanos))
-                .map(Told::value)
+                .sorted(Comparator.comparingLong(Received::nanos))
+                .map(Received::value)
                 .toList();
     }
 
     void forEach(BiConsumer<NodeName, V> receiver) {
-        byNode.forEach((node, told) -> receiver.accept(node, told.value()));
+        byNode.forEach((node, received) -> receiver.accept(node, received.value()));
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/NodeRank.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/NodeRank.java
@@ -4,17 +4,17 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * An order of nodes that all of them know without talking, and that has nothing to do with where they stand.
+ * An order of nodes that each node can compute by itself and that does not correlate with the nodes' locations.
  *
  * <p>Stateless and thread safe.
  */
 public final class NodeRank {
 
-    /** The first of some nodes is the one that acts for them. */
+    /** The order of nodes: the first of a set of nodes is the one that acts for all of them. */
     public static final Comparator<NodeName> ORDER =
             Comparator.comparingInt(NodeRank::of).thenComparing(NodeName::value);
 
-    /** Odd, so that no two names come to one rank that had not one hash code. */
+    /** The factor that spreads hash codes; odd, so that different hash codes have different ranks. */
     private static final int SPREAD = 0x9E3779B1;
 
     private NodeRank() {}
--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/RouteSums.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/RouteSums.java
@@ -16,16 +16,16 @@
 import org.carawaysill.policy.message.StateSummary.ServiceCost;
 
 /**
- * What callers ask of several nodes, and what that costs, added up by route.
+ * Sums up the demand of callers at several nodes and its costs, by route.
  *
- * <p>Sums of sums are the sums of all: it does not matter which node adds up what, as long as each node is added once. Not
+ * <p>Sums can themselves be summed up: it does not matter which node adds what, as long as each node is added once. Not
  * thread safe: owned by the policy.
  */
 public final class RouteSums {
 
     /**
-     * How much a node's figures count for a route of which nothing completes there, as completions a second: enough where
-     * nothing completes anywhere, next to nothing else.
+     * The weight of a node's costs for a route of which nothing completes there, as completions a second: enough if
+     * nothing completes anywhere, negligible otherwise.
      */
     private static final double FAILING_WEIGHT = 0.001;
 
@@ -33,9 +33,9 @@
     private final Map<String, Map<ServiceName, Mean>> costs = new HashMap<>();
 
     /**
-     * Adds one node. What it learned of a route counts by how much of the route it completes.
+     * Adds one node. Its costs of a route are weighted by the rate at which the route's requests complete there.
      *
-     * @param report what the node says
+     * @param report the node's report
      */
     public void add(NodeReport report) {
         Map<String, Float> completed = new HashMap<>();
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Adds nodes that were added up elsewhere.
+     * Adds nodes that were summed up elsewhere.
      *
      * @param summaries their sums
      */
@@ -82,7 +82,7 @@
         offered.forEach((key, rate) -> demands.computeIfAbsent(key.route(), _ -> new ArrayList<>())
                 .add(new RankDemand(key.organisationRank(), rate.floatValue())));
         List<RouteSummary> summaries = new ArrayList<>(demands.size());
-        demands.forEach((route, ofRoute) -> summaries.add(summary(route, ofRoute)));
+        demands.forEach((route, routeDemands) -> summaries.add(summary(route, routeDemands)));
         return summaries;
     }
 
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Returns of which routes something is asked, by organisations of which ranks.
+     * Returns the routes with demand, with the ranks of the requesting organisations.
      *
      * @return the routes and ranks
      */
@@ -104,9 +104,9 @@
     }
 
     /**
-     * Returns how much is asked of a route.
+     * Returns the demand for a route.
      *
-     * @param key the route, and the rank of the organisations
+     * @param key the route, and the rank of the requesting organisations
      * @return requests a second
      */
     public double offered(DemandKey key) {
@@ -114,9 +114,9 @@
     }
 
     /**
-     * Passes on what is known of costs.
+     * Passes the known costs to a receiver.
      *
-     * @param receiver gets each route with the seconds of a slot that one request takes, by service
+     * @param receiver receives each route with the slot seconds that one request takes, by service
      */
     public void forEachCost(BiConsumer<String, Map<ServiceName, Double>> receiver) {
         costs.forEach((route, means) -> {
@@ -135,9 +135,9 @@
         private double sum;
         private double weight;
 
-        void add(double value, double itsWeight) {
-            sum += value * itsWeight;
-            weight += itsWeight;
+        void add(double value, double valueWeight) {
+            sum += value * valueWeight;
+            weight += valueWeight;
         }
 
         double value() {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/Summaries.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/Summaries.java
@@ -11,23 +11,26 @@
 import org.carawaysill.policy.message.StateSummary.NodeState;
 
 /**
- * The latest summaries of several nodes that sum up.
+ * The latest summaries from several aggregators.
  *
- * <p>Invariant: a summary older than {@link #KEPT_FOR} counts for nothing. Not thread safe: owned by the policy.
+ * <p>Invariant: a summary older than {@link #SUMMARY_VALIDITY} does not count. Not thread safe: owned by the policy.
  */
 public final class Summaries {
 
-    /** Three intervals missed: by then the nodes behind it report to another one, and would be added twice. */
-    static final Duration KEPT_FOR = Duration.ofMillis(1500);
+    /**
+     * Three missed intervals: by then the nodes of the lost aggregator report to another one, and would be counted
+     * twice.
+     */
+    static final Duration SUMMARY_VALIDITY = Duration.ofMillis(1500);
 
     private final LatestByNode<StateSummary> bySender = new LatestByNode<>();
 
     /**
-     * Receives a summary, in place of the sender's last one.
+     * Takes in a summary, which replaces the sender's last one.
      *
      * @param now the monotonic time
-     * @param sender who sums up
-     * @param summary what it says
+     * @param sender the aggregator
+     * @param summary the summary
      */
     public void told(long now, NodeName sender, StateSummary summary) {
         bySender.put(now, sender, summary);
@@ -43,16 +46,16 @@
     }
 
     /**
-     * Forgets what is too old.
+     * Discards summaries that are too old.
      *
      * @param now the monotonic time
      */
     public void passTime(long now) {
-        bySender.dropOlderThan(now, KEPT_FOR);
+        bySender.dropOlderThan(now, SUMMARY_VALIDITY);
     }
 
     /**
-     * Names who sent them.
+     * Returns the senders of the summaries.
      *
      * @return the names
      */
@@ -70,7 +73,7 @@
     }
 
     /**
-     * Returns the state of each node that one of some summaries lists, by the last that does.
+     * Returns the state of each node that any of the summaries lists, taken from the latest that does.
      *
      * @param summaries the summaries, the latest last
      * @return the states
@@ -82,11 +85,11 @@
     }
 
     /**
-     * Joins summaries of different nodes to one of all of them.
+     * Merges summaries of different nodes into one.
      *
-     * @param published what this node decides by of all that is published
+     * @param published the published state that this node acts on
      * @param summaries the summaries, the latest last; no node's demand is in two of them
-     * @return the joined summary
+     * @return the merged summary
      */
     public static StateSummary join(PublishedState published, List<StateSummary> summaries) {
         RouteSums sums = new RouteSums();
--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/UseSums.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/UseSums.java
@@ -8,7 +8,7 @@
 import org.carawaysill.policy.message.OrganisationUse;
 
 /**
- * Adds up what organisations used of their allowances at several nodes.
+ * Sums up what organisations used of their allowances at several nodes.
  *
  * <p>Not thread safe: owned by the policy.
  */
@@ -17,7 +17,7 @@
     private final Map<OrganisationName, Integer> sums = new HashMap<>();
 
     /**
-     * Adds the uses of one node, or of several that were added up elsewhere.
+     * Adds the uses at one node, or at several that were summed up elsewhere.
      *
      * @param uses the uses
      */
@@ -25,7 +25,7 @@
         uses.forEach(use -> sums.merge(use.organisation(), use.admitted(), UseSums::sum));
     }
 
-    /** What others tell may be beyond all bounds. */
+    /** Adds without overflow, since values received from other nodes have no bound. */
     private static int sum(int one, int other) {
         return (int) Math.min(Integer.MAX_VALUE, (long) one + other);
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/package-info.java
@@ -1,4 +1,4 @@
-/** How the state of all nodes is summed up, so that each node hears from a few others only. */
+/** Aggregation of the state of all nodes, so that each node receives messages from a few others only. */
 @NullMarked
 package org.carawaysill.policy.fleet.summary;
 
