--- a/policy/src/main/java/org/carawaysill/policy/fleet/allowance/AllowanceBounds.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/allowance/AllowanceBounds.java
@@ -10,17 +10,17 @@
  * <p>Invariants: the window is positive; overshoot and slack are not negative. Immutable and thread safe.
  *
  * @param window the length of the windows
- * @param overshoot the share of the allowance by which a window may exceed it
- * @param slack requests by which a window may exceed it besides
+ * @param overshoot the part of the allowance by which a window may exceed it
+ * @param slack the number of requests by which a window may exceed it in addition
  */
 public record AllowanceBounds(Duration window, double overshoot, double slack) {
 
-    /** The bounds where the platform states none. */
+    /** The bounds if the platform publishes none. */
     public static final AllowanceBounds STRICT = new AllowanceBounds(Duration.ofSeconds(5), 0, 0);
 
     public AllowanceBounds {
         if (window.isNegative() || window.isZero() || !(overshoot >= 0) || !(slack >= 0)) {
-            throw new IllegalArgumentException("bounds of allowances must not be negative, nor the window empty");
+            throw new IllegalArgumentException("window must be positive, and overshoot and slack must be at least 0");
         }
     }
 
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Returns how many requests may be admitted within a window at the most.
+     * Returns the maximum number of requests that may be admitted within a window.
      *
      * @param allowance the allowance
      * @return requests
--- a/policy/src/main/java/org/carawaysill/policy/fleet/allowance/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/allowance/package-info.java
@@ -1,4 +1,4 @@
-/** How much organisations may send, over all nodes together and without shared state. */
+/** Allowances of organisations, enforced over all nodes together and without shared state. */
 @NullMarked
 package org.carawaysill.policy.fleet.allowance;
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceMethod.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceMethod.java
@@ -8,19 +8,19 @@
 import org.carawaysill.policy.message.OrganisationUse;
 import org.carawaysill.policy.time.SlidingCount;
 
-/** A way in which one node may keep to an allowance of the whole fleet, to be compared with others. Not thread safe. */
+/** A method by which one node keeps to an allowance of the whole fleet, to be compared with others. Not thread safe. */
 sealed interface AllowanceMethod {
 
     /** Decides about a request, and counts it if it is admitted. */
     boolean admit(long now);
 
-    /** What the node tells of itself. */
+    /** Returns what the node reports of itself. */
     int report(long now);
 
-    /** Receives the sum of what some nodes told. */
+    /** Takes in the sum of what some nodes reported. */
     void told(long now, int sum, int ofNodes);
 
-    /** Sums of what the nodes told lately, the policy's own way. */
+    /** The method of the policy: sums of what the nodes recently reported. */
     final class FleetSums implements AllowanceMethod {
 
         private final FleetAllowances allowances;
@@ -54,7 +54,7 @@
         }
     }
 
-    /** A bucket of a node's part of the allowance. */
+    /** A token bucket with a node's part of the allowance. */
     final class SharedBucket {
 
         private final double perNano;
@@ -90,7 +90,7 @@
         }
     }
 
-    /** The same part of the allowance for each node: the baseline. */
+    /** The baseline: the same part of the allowance for each node. */
     final class EvenShare implements AllowanceMethod {
 
         private final SharedBucket bucket;
@@ -113,7 +113,7 @@
         public void told(long now, int sum, int ofNodes) {}
     }
 
-    /** A part that follows what callers ask of each node, with a floor for nodes that were asked nothing yet. */
+    /** A part in proportion to the demand at each node, with a minimum for nodes without demand so far. */
     final class FollowingShare implements AllowanceMethod {
 
         /** The part of the allowance that is shared evenly. */
--- a/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceTrial.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceTrial.java
@@ -16,10 +16,10 @@
 import org.carawaysill.model.identity.OrganisationName;
 
 /**
- * One organisation's requests at the nodes of a fleet in three availability zones, in virtual time; the nodes tell one another
- * what they admitted as the policy's summaries do.
+ * Simulates one organisation's requests at the nodes of a fleet in three availability zones, in virtual time; the nodes
+ * exchange what they admitted as the policy's summaries do.
  *
- * <p>Everything that happens is decided by the seed. Not thread safe.
+ * <p>The seed determines everything that happens. Not thread safe.
  */
 final class AllowanceTrial {
 
@@ -50,7 +50,9 @@
     private long now;
     private int worst;
 
-    /** Requests that a bucket of the allowance, known to all nodes at once, would admit. */
+    /**
+     * The number of requests that one token bucket of the allowance, shared by all nodes without delay, would admit.
+     */
     int owed;
 
     int admitted;
@@ -59,7 +61,7 @@
 
     private record Timed(long at, Runnable action) {}
 
-    /** Which way the nodes take. */
+    /** The method that the nodes use. */
     enum Way {
         EVEN_SHARE,
         FOLLOWING_SHARE,
@@ -137,7 +139,7 @@
         }
     }
 
-    /** Cuts a share of the nodes off from all others for a time. */
+    /** Disconnects a share of the nodes from all others for a time. */
     AllowanceTrial cut(double share, double fromSecond, double untilSecond) {
         at((long) (fromSecond * SECOND), () -> {
             for (int node = 0; node < nodeCount; node++) {
@@ -152,7 +154,7 @@
         return this;
     }
 
-    /** Kills a share of the nodes; each starts again after a while and remembers nothing. */
+    /** Kills a share of the nodes; each starts again after a time, without its earlier state. */
     AllowanceTrial kill(double share, double atSecond, double downSeconds) {
         at((long) (atSecond * SECOND), () -> {
             for (int node = 0; node < nodeCount; node++) {
@@ -169,7 +171,7 @@
         return this;
     }
 
-    /** Plays requests that come by chance, in clumps of up to two, at a rate that changes with time. */
+    /** Runs randomly arriving requests, in bunches of up to two, at a rate that changes with time. */
     AllowanceTrial play(DoubleUnaryOperator perSecond, double seconds) {
         double at = 0;
         double fastest = 0;
@@ -209,7 +211,10 @@
         attempt(node, counted, abuser ? 3 : 1, abuser);
     }
 
-    /** Clients come back once as they are told; impatient ones three times, at once. */
+    /**
+     * Makes an attempt. Refused clients retry once after the time that they were given; impatient ones three times, at
+     * once.
+     */
     private void attempt(int node, boolean counted, int repeats, boolean abuser) {
         if (down[node]) {
             return;
@@ -227,17 +232,17 @@
         }
     }
 
-    /** The most that was admitted within any window, as a part of what the bound allows. */
+    /** Returns the maximum that was admitted within any window, as a part of what the bound allows. */
     double worstOfBound() {
         return worst / BOUNDS.most(allowance);
     }
 
-    /** The part of what is owed that was refused. */
+    /** Returns the refused part of the requests that should be admitted. */
     double refusedBelow() {
         return owed == 0 ? 0 : Math.max(0, owed - admitted) / (double) owed;
     }
 
-    /** Plays each scenario with each way and prints a table. */
+    /** Runs each scenario with each method and prints a table. */
     public static void main(String[] arguments) {
         List<String> rows = new ArrayList<>();
         for (int count : new int[] {58, 300, 3500}) {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/allowance/FleetAllowancesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/allowance/FleetAllowancesTest.java
@@ -25,7 +25,7 @@
 
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
 
-    /** Organisations usually ask for this part of their allowance. */
+    /** The usual demand of organisations, as a part of their allowance. */
     private static final double USUAL_PART = 0.625;
 
     private static final int NODES = 58;
@@ -43,7 +43,7 @@
         return RATES[(int) Math.floorMod(seed, (long) RATES.length)];
     }
 
-    /** Whatever is asked for, cut off, or started anew, no window of the fleet exceeds the bound. */
+    /** No window of the fleet exceeds the bound, whatever the demand, the partitions and the restarts. */
     @Property(tries = 100, seed = "20261203")
     void keepTheBoundOfTheWholeFleet(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
@@ -63,7 +63,10 @@
         assertTrue(worst <= 1, () -> "rate " + rate + ": " + worst + " of the bound");
     }
 
-    /** Who stays below its allowance is refused next to nothing, however its requests scatter over the nodes. */
+    /**
+     * An organisation that stays below its allowance has hardly any request refused, however its requests spread over
+     * the nodes.
+     */
     @Property(tries = 20, seed = "20261203")
     void refuseNextToNothingBelowTheAllowance(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
         double rate = anyOf(seed);
@@ -71,7 +74,7 @@
         assertTrue(refused < 0.01, () -> "rate " + rate + ": " + refused + " refused");
     }
 
-    /** Guards against an organisation that is refused half of its allowance for as long as it asks for a multiple of it. */
+    /** Guards against refusing half of an organisation's allowance for as long as it sends a multiple of it. */
     @Test
     void leaveALargeOrganisationItsAllowanceWhileItAsksForMore() {
         double rate = 190;
@@ -127,7 +130,7 @@
             assertEquals(1000, admitted(free, 10 * SECOND, 1000));
         }
 
-        /** Guards against an earlier life of the node whose requests still count, and which it does not remember. */
+        /** Guards against forgetting requests that an earlier process of the node admitted and that still count. */
         @Test
         void admitsNoBurstJustAfterItsStart() {
             assertTrue(admitted(organisation(10), SECOND, 100) <= 12);
@@ -154,7 +157,7 @@
             assertTrue(allowances.refusal(11 * SECOND, agents).isPresent());
         }
 
-        /** Guards against a node that forgets what was used, since those that used it have started anew. */
+        /** Guards against forgetting a use because the nodes that reported it were restarted. */
         @Test
         void rememberAUseThatIsToldNoMore() {
             told(10 * SECOND, 900, 10);
