--- a/policy/src/main/java/org/carawaysill/policy/fleet/retry/RetryAllowance.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/retry/RetryAllowance.java
@@ -6,27 +6,30 @@
 import org.carawaysill.policy.time.SlidingCount;
 
 /**
- * This node's part of the repeats that a service may get in any window of time.
+ * This node's part of the retries that a service may receive in any window of time.
  *
- * <p>Guards against repeats that feed an overload: each of them costs the slots of a whole call tree, and without a bound
- * they show as a fleet that stays overloaded after the trigger has gone. The bound is one of the whole fleet, and holds
- * without talking: each node takes its part of the fixed allowance and the ratio of its own first attempts. Invariant: in
- * no window does this node repeat more than that. Not thread safe: owned by the policy.
+ * <p>Guards against retries that amplify an overload: each of them costs the slots of a whole call tree, and without a
+ * bound the fleet stays overloaded after the trigger has gone. The bound applies to the whole fleet and needs no
+ * coordination: each node uses its part of the fixed allowance, plus the ratio of its own first attempts. Invariant: in
+ * no window does this node retry more than that. Not thread safe: owned by the policy.
  */
 public final class RetryAllowance {
 
-    /** Parts of a window; the oldest part leaves the window whole, which errs by at most one part of it. */
+    /** The number of parts of a window. The oldest part leaves the window as a whole, an error of at most one part. */
     private static final int PARTS = 20;
 
-    /** What is used of the bound: the rest covers calls that a repeated run makes again, which other nodes count. */
-    private static final double USED_PART = 0.7;
+    /**
+     * The part of the bound that is used: the rest covers calls that a retried request makes again, which other nodes
+     * count.
+     */
+    private static final double PLANNED_PART = 0.7;
 
     private RetrySettings settings;
     private final Map<ServiceName, Window> byService = new HashMap<>();
     private int nodes = 1;
 
     /**
-     * Starts with nothing counted.
+     * Creates an allowance without any counted attempts.
      *
      * @param settings the bound of the fleet
      */
@@ -59,29 +62,29 @@
      * Counts a first attempt.
      *
      * @param now the monotonic time
-     * @param service where it goes
+     * @param service the service that receives it
      */
     public void first(long now, ServiceName service) {
-        window(now, service).firsts().add(now);
+        window(now, service).firstAttempts().add(now);
     }
 
     /**
-     * Takes one repeat out of the allowance.
+     * Takes one retry out of the allowance.
      *
      * @param now the monotonic time
-     * @param service where it would go
-     * @return whether there was one left
+     * @param service the service that would receive it
+     * @return whether a retry was left
      */
     public boolean take(long now, ServiceName service) {
         Window window = window(now, service);
-        double allowed = settings.extra() * USED_PART / nodes
-                + settings.ratio() * USED_PART * window.firsts().sum(now);
-        // A single repeat is left to each node where all of them together fit the fixed allowance.
+        double allowed = settings.extra() * PLANNED_PART / nodes
+                + settings.ratio() * PLANNED_PART * window.firstAttempts().sum(now);
+        // Each node may retry once where all of them together fit the fixed allowance.
         double least = nodes <= settings.extra() ? 1 : 0;
-        if (window.repeats().sum(now) + 1 > Math.max(least, allowed)) {
+        if (window.retries().sum(now) + 1 > Math.max(least, allowed)) {
             return false;
         }
-        window.repeats().add(now);
+        window.retries().add(now);
         return true;
     }
 
@@ -93,6 +96,6 @@
         return new SlidingCount(now, settings.window().toNanos() / PARTS, PARTS);
     }
 
-    /** What was sent to one service. */
-    private record Window(SlidingCount firsts, SlidingCount repeats) {}
+    /** The attempts that were sent to one service within the window. */
+    private record Window(SlidingCount firstAttempts, SlidingCount retries) {}
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/retry/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/retry/package-info.java
@@ -1,4 +1,4 @@
-/** Bounds of attempts beyond the first. */
+/** The bound on attempts beyond the first. */
 @NullMarked
 package org.carawaysill.policy.fleet.retry;
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/route/RouteTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/route/RouteTable.java
@@ -8,16 +8,16 @@
 import org.carawaysill.model.fleet.Route;
 
 /**
- * Finds the route of a request: of its host, the one with the longest prefix.
+ * Finds the route of a request: of the routes of its host, the one with the longest matching prefix.
  *
- * <p>Each lookup takes one step for each slash of the path, however many routes there are. Immutable and thread safe.
+ * <p>A lookup takes one step for each slash of the path, however many routes there are. Immutable and thread safe.
  */
 public final class RouteTable {
 
     private final Map<String, Map<String, Route>> byHost = new HashMap<>();
 
     /**
-     * Indexes routes; of two with one host and prefix the first counts.
+     * Indexes routes; of two with the same host and prefix, the first one is used.
      *
      * @param routes the routes
      */
@@ -31,9 +31,9 @@
     /**
      * Finds a route.
      *
-     * @param host the host that the request names, with or without a port
-     * @param path the request's path; a query is left aside
-     * @return the route, empty where none matches
+     * @param host the host of the request, with or without a port
+     * @param path the request's path; a query is ignored
+     * @return the route, empty if none matches
      */
     public Optional<Route> find(String host, String path) {
         Map<String, Route> byPrefix = byHost.get(normalized(withoutPort(host)));
--- a/policy/src/main/java/org/carawaysill/policy/fleet/route/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/route/package-info.java
@@ -1,4 +1,4 @@
-/** Which route a request takes and which of its services gets it. */
+/** Routing of requests: the choice of the route, and of the service among its destinations. */
 @NullMarked
 package org.carawaysill.policy.fleet.route;
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/retry/RetryAllowanceTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/retry/RetryAllowanceTest.java
@@ -28,23 +28,23 @@
     class Bound {
 
         /*
-         * A deep service answers badly for a while, and each of thirteen nodes repeats what failed. Each knows only its own
-         * repeats; the sum must stay within what the operators allow the whole fleet in any window.
+         * A deep service fails for a while, and each of thirteen nodes retries what failed. Each knows only its own
+         * retries; the sum must stay within what the operators allow the whole fleet in any window.
          */
         @Test
         void holdsOverAllNodesTogether() {
             int nodes = 13;
-            int repeats = 0;
+            int retries = 0;
             for (int node = 0; node < nodes; node++) {
                 RetryAllowance allowance = new RetryAllowance(BOUND);
                 allowance.nodes(nodes);
                 for (int i = 0; i < 100; i++) {
                     allowance.first(i * 10 * MILLI, DEEP);
                 }
-                repeats += taken(allowance, 1000 * MILLI);
+                retries += taken(allowance, 1000 * MILLI);
             }
-            assertTrue(repeats <= 0.2 * 100 * nodes + 48, "repeats: " + repeats);
-            assertTrue(repeats >= nodes, "each node may repeat at least once: " + repeats);
+            assertTrue(retries <= 0.2 * 100 * nodes + 48, "retries: " + retries);
+            assertTrue(retries >= nodes, "each node may retry at least once: " + retries);
         }
 
         @Test
@@ -70,8 +70,8 @@
                 for (int j = i; j < count && times[j] - times[i] <= 10_000 * MILLI; j++) {
                     within++;
                 }
-                // No first attempts are counted here, so the fixed part is all that there is.
-                assertTrue(within <= 48, within + " repeats from " + times[i]);
+                // No first attempts are counted here, so only the fixed part of the allowance is available.
+                assertTrue(within <= 48, within + " retries from " + times[i]);
             }
         }
     }
@@ -80,7 +80,7 @@
     class Settings {
 
         @Test
-        void applyFromTheNextRepeat() {
+        void applyFromTheNextRetry() {
             RetryAllowance allowance = new RetryAllowance(BOUND);
             assertTrue(allowance.take(0, DEEP));
             allowance.settings(new RetrySettings(0, 0, Duration.ofSeconds(10)));
--- a/policy/src/test/java/org/carawaysill/policy/fleet/route/RouteTableTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/route/RouteTableTest.java
@@ -55,7 +55,7 @@
         }
 
         @Test
-        void leavesPortCaseAndQueryAside() {
+        void ignoresPortCaseAndQuery() {
             assertEquals(Optional.of("/bills/"), found("Bills.Example:8080", "/bills/7?next=/bills/open/x"));
         }
 
@@ -71,19 +71,19 @@
     class Split {
 
         @Test
-        void dealsWithinOneRequestOfTheWeightsAtAnyTime() {
+        void staysWithinOneRequestOfTheWeightsAtAnyTime() {
             Route route = route("bills.example", "/", to("a", 90), to("b", 7), to("c", 3));
             SplitShares shares = new SplitShares();
-            Map<String, Integer> dealt = new HashMap<>();
+            Map<String, Integer> received = new HashMap<>();
             for (int i = 1; i <= 1000; i++) {
-                dealt.merge(shares.next(route).value(), 1, Integer::sum);
-                assertEquals(i * 0.9, dealt.getOrDefault("a", 0), 1.0);
-                assertEquals(i * 0.07, dealt.getOrDefault("b", 0), 1.0);
+                received.merge(shares.next(route).value(), 1, Integer::sum);
+                assertEquals(i * 0.9, received.getOrDefault("a", 0), 1.0);
+                assertEquals(i * 0.07, received.getOrDefault("b", 0), 1.0);
             }
         }
 
         @Test
-        void startsAnewWhenTheWeightsChange() {
+        void startsAgainWhenTheWeightsChange() {
             SplitShares shares = new SplitShares();
             shares.next(route("bills.example", "/", to("a", 1), to("b", 1)));
             Route changed = route("bills.example", "/", to("a", 0), to("b", 1));
