--- a/policy/src/main/java/org/carawaysill/policy/fleet/mechanism/Mechanism.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/mechanism/Mechanism.java
@@ -1,27 +1,30 @@
 package org.carawaysill.policy.fleet.mechanism;
 
 /**
- * A part of the policy that can be switched off, so that its worth can be measured on any load.
+ * A part of the policy that can be switched off, so that its effect can be measured under any load.
  *
- * <p>None is needed for a promise: without it, more requests are refused, fail or come late. Immutable and thread safe.
+ * <p>No guarantee depends on any of them: without one, more requests are refused, fail or are late. Immutable and
+ * thread safe.
  */
 public enum Mechanism {
-    /** Requests are admitted by what they cost at each service; else all are admitted. */
+    /** Admits requests by what they cost at each service; without it, all are admitted. */
     ENTRY_PLAN,
-    /** Only the slots of copies that may get work now count in the plan; else those of all nodes that report. */
+    /**
+     * Counts only the slots of copies that may receive requests in the plan; without it, those of all reporting nodes.
+     */
     USABLE_SLOTS,
-    /** More is planned for a service whose slots turn out to be idle. */
+    /** Plans for more slots of a service while some of its slots are idle. */
     IDLE_SLOTS,
-    /** The last slots of a copy that slows down when nearly full stay free. */
+    /** Leaves the last slots of a copy free that slows down when nearly full. */
     NEAR_FULL_LIMIT,
-    /** Of equals that wait, what its caller asked for first is served first; else what is deeper, then what has less time. */
+    /** Serves requests of equal rank by the age of their root request; without it, by depth, then by deadline. */
     OLDEST_FIRST,
-    /** Faster copies come first while there is room. */
+    /** Prefers faster copies while slots are idle. */
     COPY_SPEED,
-    /** Copies in the own availability zone and on the own VM come first. */
+    /** Prefers copies in the same availability zone and on the same VM. */
     NEARNESS,
-    /** Copies that fail more than others come last. */
+    /** Prefers copies that fail less than others. */
     SUCCESS_WEIGHT,
-    /** Cold copies count as more loaded. */
+    /** Counts cold copies as more loaded. */
     COLD_FACTOR
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/mechanism/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/mechanism/package-info.java
@@ -1,4 +1,7 @@
-/** What of the policy can be switched off; the other packages of the policy depend on it, and it on none. */
+/**
+ * The parts of the policy that can be switched off. Other packages of the policy depend on this one; it depends on none
+ * of them.
+ */
 @NullMarked
 package org.carawaysill.policy.fleet.mechanism;
 
