--- a/node/src/main/java/org/carawaysill/node/fleet/DecisionLog.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/DecisionLog.java
@@ -12,11 +12,11 @@
 import org.tinylog.Logger;
 
 /**
- * Writes one line for each decision: its kind, what it is about, the inputs and the outcome.
+ * Writes one log line per decision: its kind, its subject, the inputs and the outcome.
  *
- * <p>Invariants: no more lines of one kind a second than its bound, and what was left out is told by number; an entry is
- * one line, whatever a value holds. The writer has a thread of its own, so that nobody waits for the console. Confined to
- * the event loop.
+ * <p>Invariants: writes at most the configured number of lines of each kind per second and reports how many lines it
+ * omitted; an entry is always a single line, whatever its values contain. The logging library writes on its own thread,
+ * so that callers don't wait for the console. Not thread safe: confined to the event loop.
  */
 public final class DecisionLog implements Service {
 
@@ -29,33 +29,36 @@
     private final Map<Kind, Integer> omitted = new EnumMap<>(Kind.class);
     private long secondNanos = System.nanoTime();
 
-    /** What a line is about, with its bound in lines a second: what explains a failure is kept longest. */
+    /** The kind of a line, with its limit in lines per second. Lines that explain failures have the highest limits. */
     private enum Kind {
-        /** An attempt was handed over. */
+        /** An attempt was sent. */
         SENT(1),
         /** A copy answered. */
         ANSWERED(1),
-        /** No copy ran it, since the service is overloaded. */
+        /** No copy ran the request, because the service is overloaded. */
         REFUSED(5),
-        /** It failed otherwise. */
+        /** The request failed for another reason. */
         FAILED(10),
         /** Another attempt follows. */
         RETRIED(5),
-        /** It failed at or before the local copy. */
+        /** The request failed at the local copy or before it reached it. */
         FAILED_AT_COPY(5),
-        /** Its connection to the local copy ended before its answer. */
+        /** The connection to the local copy ended before the request was answered. */
         COPY_CONNECTION(20),
-        /** It was held, sent elsewhere or refused, since copies crashed under it. */
+        /** The request was held, redirected or refused because copies crashed while running it. */
         SUSPECT(10),
-        /** The client left. */
+        /** The client closed the connection before the answer. */
         ABANDONED(3),
-        /** It was malformed. */
+        /** The request was malformed. */
         BAD_REQUEST(5),
-        /** A copy leaves or is gone: a node that has just started writes a line for each copy, which must not crowd it out. */
+        /**
+         * A copy is leaving or gone. Has its own limit, because a node that has just started writes a line for each
+         * copy, which must not crowd this one out.
+         */
         COPY_LEAVES(60),
-        /** The local copy crashed, or more is known of a request under which copies crashed. */
+        /** The local copy crashed, or the suspicion of a request that crashed copies changed. */
         CRASH(60),
-        /** The node believes something else now. */
+        /** The state that the node knows of a copy, peer, route or other part of the fleet changed. */
         BELIEF(60);
 
         private final int linesPerSecond;
@@ -71,7 +74,7 @@
     }
 
     /**
-     * Writes a decision, unless too many of its kind were written this second.
+     * Writes a decision, unless the limit of its kind is reached for this second.
      *
      * @param decision the decision
      */
@@ -84,10 +87,10 @@
     }
 
     /**
-     * Writes that a request was refused before it became an event.
+     * Writes that a request was rejected before it was passed to the policy.
      *
-     * @param requestName the client's name for it, if it was read
-     * @param kind what is wrong with it
+     * @param requestName the client's name for the request, or a placeholder if it was not read
+     * @param kind what is wrong with the request
      */
     public void badRequest(String requestName, BadRequest kind) {
         if (admit(Kind.BAD_REQUEST)) {
@@ -97,11 +100,11 @@
     }
 
     /**
-     * Writes that a connection to the local copy ended while a request was at work on it.
+     * Writes that a connection to the local copy ended while a request was in flight on it.
      *
      * @param requestName the request
      * @param copy the copy
-     * @param reason who ended it, and why
+     * @param reason which side ended the connection, and why
      * @param age time since the request was written
      */
     public void copyConnectionEnded(String requestName, CopyName copy, ConnectionEnd reason, Duration age) {
@@ -139,7 +142,7 @@
         long now = System.nanoTime();
         if (now - secondNanos >= SECOND_NANOS) {
             secondNanos = now;
-            tellOmitted();
+            logOmitted();
             written.clear();
         }
         if (written.merge(kind, 1, Integer::sum) > kind.linesPerSecond) {
@@ -149,14 +152,17 @@
         return true;
     }
 
-    private void tellOmitted() {
+    private void logOmitted() {
         if (!omitted.isEmpty()) {
             Logger.info("decision=Omitted subject=log lines={}", omitted);
             omitted.clear();
         }
     }
 
-    /** Guards against forged entries: a name from outside could hold a line break and a whole false line. */
+    /**
+     * Replaces control characters, which prevents log injection: a name from a client could contain a line break and a
+     * forged line.
+     */
     private static String oneLine(String text) {
         boolean plain = text.chars().noneMatch(Character::isISOControl);
         return plain ? text : text.replaceAll("\\p{Cntrl}", " ");
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetAdmin.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetAdmin.java
@@ -39,9 +39,10 @@
 import org.carawaysill.node.observation.Counters;
 
 /**
- * The HTTP servers for readiness and metrics, on the codec that the path of requests has loaded anyway.
+ * The HTTP servers for readiness and metrics. They use the same HTTP codec as the request path, so that no further
+ * classes need loading.
  *
- * <p>The methods of {@link Service} are thread safe, all else is confined to the event loop.
+ * <p>The methods of {@link Service} are thread safe; everything else is confined to the event loop.
  */
 public final class FleetAdmin implements Service {
 
@@ -88,7 +89,7 @@
                         channel.pipeline()
                                 .addLast(new HttpServerCodec())
                                 .addLast(new HttpObjectAggregator(LARGEST_REQUEST_BYTES))
-                                .addLast(new Answering());
+                                .addLast(new RequestHandler());
                     }
                 })
                 .bind(address.host(), address.port())
@@ -112,7 +113,7 @@
         return CompletableFuture.runAsync(() -> servers.forEach(Channel::close), eventLoop);
     }
 
-    /** Tells from now on whether the node takes clients. */
+    /** Sets whether the node is reported as ready for clients. */
     void ready(boolean nowReady) {
         ready = nowReady;
     }
@@ -146,8 +147,8 @@
         return page.toByteArray();
     }
 
-    /** Answers the requests of one connection. Confined to the event loop. */
-    private final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Answers the requests of one connection. Not thread safe: confined to the event loop. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetLoop.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetLoop.java
@@ -19,19 +19,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Gives events to the policy and its effects to the node, on one event loop thread.
+ * Passes events to the policy and its effects to the node, on a single event loop thread.
  *
- * <p>Input, decisions and output share the thread, so that a request costs no hand-over between threads: with a ring and a
- * thread for the policy, each of the four steps of a request on its way woke another thread. Invariant: an event that
- * comes while another one is being decided waits until all effects of that are done. Only {@link #submit} is thread safe,
- * all else is confined to the event loop.
+ * <p>Input, decisions and output share the thread to avoid handing requests over between threads: with a ring buffer
+ * and a separate policy thread, each of the four steps of a forwarded request had to wake another thread. Invariant: an
+ * event that arrives while another one is being decided waits until all effects of that event are dispatched. Only
+ * {@link #submit} is thread safe; everything else is confined to the event loop.
  */
 public final class FleetLoop implements Service {
 
     /** The name under which the service is registered. */
     public static final String NAME = "loop";
 
-    private static final int MOST_LOGGED_FAILURES = 20;
+    private static final int MAXIMUM_LOGGED_FAILURES = 20;
 
     private final EventLoop eventLoop;
     private final FleetPolicy policy;
@@ -57,13 +57,13 @@
         return NAME;
     }
 
-    /** Sets who carries effects out. */
+    /** Sets the receiver that carries out effects. */
     void effects(Consumer<FleetEffect> receiver) {
         effects = receiver;
     }
 
     /**
-     * Hands an event to the policy, from any thread.
+     * Passes an event to the policy. May be called on any thread.
      *
      * @param event the event
      */
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Hands an event to the policy, on the event loop. */
+    /** Passes an event to the policy. Must be called on the event loop. */
     void handle(FleetEvent event) {
         waiting.add(event);
         if (deciding) {
@@ -100,7 +100,7 @@
             List<FleetEffect> decided = policy.decide(now, event);
             decided.forEach(this::dispatch);
         } catch (RuntimeException failure) {
-            // One event at which the policy fails must not end the node: its requests run into their limits.
+            // A policy failure at one event must not end the node; the affected requests run into their time limits.
             counters.policyFailure();
             logFailure("the policy failed at " + event.getClass().getSimpleName(), failure);
         }
@@ -116,7 +116,7 @@
     }
 
     private void logFailure(String what, RuntimeException failure) {
-        if (loggedFailures++ < MOST_LOGGED_FAILURES) {
+        if (loggedFailures++ < MAXIMUM_LOGGED_FAILURES) {
             StackTraceElement[] trace = failure.getStackTrace();
             StateLog.fault(
                     Step.ADMISSION,
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
@@ -25,13 +25,13 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * All services of one node in a fleet with common routes.
+ * All services of one node in a fleet with shared routes.
  *
- * <p>Invariant: all of them work on one event loop thread. Thread safe.
+ * <p>Invariant: all services run on one event loop thread. Thread safe.
  */
 public final class FleetNode {
 
-    /** The part of the heap that the bodies of open exchanges may take. */
+    /** The divisor for the part of the heap that bodies of open exchanges may use: a quarter. */
     private static final int HEAP_PARTS_FOR_BODIES = 4;
 
     private static final long STOP_LIMIT_MILLIS = 500;
@@ -52,12 +52,12 @@
     private final PublishedSource source;
 
     /**
-     * Makes a node that does not serve yet.
+     * Creates a node that doesn't serve yet.
      *
      * @param settings its settings
-     * @param readyPath the path at which the platform asks whether it takes clients
-     * @param decoder what understands published entries
-     * @param source makes what reads them
+     * @param readyPath the path of the readiness probe
+     * @param decoder decodes published entries
+     * @param source creates the reader of published entries for the node's event loop
      */
     public FleetNode(
             FleetNodeSettings settings,
@@ -89,7 +89,9 @@
         return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("node"), paced);
     }
 
-    /** Attempts are named at random; two nodes, or two lives of one, must not draw the same names. */
+    /**
+     * Seeds the random names of attempts; two nodes, or two incarnations of one node, must not generate the same names.
+     */
     private static long seed(FleetNodeSettings settings, Moment start) {
         return settings.policy().self().hashCode() * 0x9E3779B97F4A7C15L ^ start.nanos() ^ start.epochMillis() << 20;
     }
@@ -97,13 +99,14 @@
     /**
      * Starts all services.
      *
-     * <p>All of it happens on the event loop. Guards against two threads that are inside the same function of the system's
-     * library at a time: while the platform replaces the places there that make system calls, the other one comes back to
-     * half an instruction, and the process ends by SIGILL with what it was doing (code 134). It showed 0.1 to 0.2 s after
-     * one start in some 250, where the caller's thread read classes from files for one service while the services before it
-     * had begun to work. A caller that only waits reads nothing.
+     * <p>Everything runs on the event loop, because two threads that run the same function of the C library at the same
+     * time can crash the process: while the platform patches the system calls in that function, the other thread
+     * resumes in the middle of an instruction, and the process ends by SIGILL (exit code 134) and loses its requests in
+     * flight. It occurred 0.1 to 0.2 s after about one start in 250, when the caller's thread read classes from files
+     * for one service while the services started before it were already running. A caller that only waits reads no
+     * files.
      *
-     * @return completes when the node listens; fails with why it can't
+     * @return completes when the node listens; fails with the reason if it can't
      */
     public CompletableFuture<Void> start() {
         return CompletableFuture.supplyAsync(registry::start, eventLoop)
@@ -112,7 +115,7 @@
     }
 
     /**
-     * Applies changed settings, as far as a running node can.
+     * Applies changed settings, as far as a running node supports it.
      *
      * @param settings the new settings
      */
@@ -120,22 +123,22 @@
         loop.submit(new FleetEvent.SettingsChanged(settings.policy()));
     }
 
-    /** Orders a planned stop: the node finishes its requests, and {@link #mayEnd} completes after that. */
+    /** Begins a planned stop: the node finishes its requests, and then {@link #mayEnd} completes. */
     public void orderStop() {
         loop.submit(new FleetEvent.StopOrdered());
     }
 
     /**
-     * Waits for the end of a planned stop.
+     * Returns the completion of a planned stop.
      *
-     * @return completes when the process may end
+     * @return completes when the process may exit
      */
     public CompletableFuture<Void> mayEnd() {
         return mayEnd;
     }
 
     /**
-     * Returns the services, to find one by name.
+     * Returns the service registry, for lookups by name.
      *
      * @return the registry
      */
@@ -146,7 +149,7 @@
     /**
      * Stops all services.
      *
-     * @return completes when all have stopped
+     * @return completes when all services have stopped
      */
     public CompletableFuture<Void> stop() {
         return registry.stop()
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetNodeSettings.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetNodeSettings.java
@@ -5,15 +5,15 @@
 import org.carawaysill.policy.fleet.FleetSettings;
 
 /**
- * Where a fleet's node listens, and under which terms it decides.
+ * The addresses on which a fleet node listens, and the settings of its policy.
  *
  * <p>Immutable and thread safe.
  *
- * @param policy who it is, and the bounds under which it decides
- * @param entry where it takes requests that begin on its VM
- * @param peer where other nodes reach it; the port is the same at all nodes
- * @param admin where it serves readiness and metrics
- * @param metrics where it serves metrics besides; the same address where there is no other
+ * @param policy the node's identity and the limits of its policy
+ * @param entry the address that accepts requests of clients on its own VM
+ * @param peer the address for other nodes; the port is the same on all nodes
+ * @param admin the address that serves readiness and metrics
+ * @param metrics an additional address for metrics; equal to {@code admin} if there is none
  * @param dialect the names of header fields
  */
 public record FleetNodeSettings(
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetPeers.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetPeers.java
@@ -17,7 +17,7 @@
 import org.carawaysill.protocol.link.PeerListener;
 
 /**
- * Joins the link between nodes to the policy of a fleet's node.
+ * Connects the link between nodes to the policy of a fleet node.
  *
  * <p>Thread safe.
  */
@@ -26,12 +26,12 @@
     /** The name under which the service is registered. */
     public static final String NAME = "fleet-peers";
 
-    /** Room for a body of the size that copies send, with its headers; a larger one is refused as not sent. */
+    /** Fits a body of the size that copies send, with its headers; a larger frame is rejected as not sent. */
     private static final int LARGEST_FRAME_BYTES = 20 * 1024 * 1024;
 
     private static final Duration SHORTEST_REDIAL = Duration.ofMillis(50);
 
-    /** Short, since a node that comes back knows nobody until it is dialled, where the platform can't be read. */
+    /** Kept short, since a restarted node that can't read the platform knows no peers until one connects to it. */
     private static final Duration LONGEST_REDIAL = Duration.ofMillis(500);
 
     private static final Duration CONNECT_LIMIT = Duration.ofMillis(1000);
@@ -82,7 +82,7 @@
         link.send(peer, message);
     }
 
-    /** Keeps a connection open to a node; its name is the IP number of its VM. */
+    /** Keeps a connection open to a node, whose name is the IP address of its VM. */
     void connect(NodeName peer) {
         link.connect(peer, peer.value(), port);
     }
--- a/node/src/main/java/org/carawaysill/node/fleet/PacedSelection.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/PacedSelection.java
@@ -8,23 +8,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * Lets a busy event loop wait a moment before it looks for input, so that one wake-up takes in what several would have.
+ * Delays the selects of a busy event loop, so that one wake-up handles the input of several.
  *
- * <p>A wake-up for each message costs more processor time than the message, since other processes have used the caches
- * meanwhile. With 14 nodes on one machine and 5,300 calls a second through two nodes each, this saves a quarter of the event
- * loops' processor time (68 and 50 s in ten seconds, with an interval of 1.5 ms), and costs 20 ms at the median of
- * requests of up to 13 calls (170 and 190 ms). A node that wakes up fewer than 500 times a second, and no more than
- * {@link #MOST_SAVED} times at once, never waits.
+ * <p>A wake-up per message costs more processor time than handling the message, since other processes have evicted the
+ * caches in between. With 14 nodes on one machine and 5,300 calls per second through two nodes each, at an interval of
+ * 1.5 ms, this saves a quarter of the event loops' processor time (50 instead of 68 s in ten seconds) and adds 20 ms to
+ * the median latency of requests of up to 13 calls (190 instead of 170 ms). A node that wakes up fewer than 500 times
+ * per second, and at most {@link #MAXIMUM_BURST} times in a row, is never delayed.
  *
- * <p>Invariants: no wait is longer than {@link #INTERVAL}, and none comes while tasks are due. Confined to its event loop.
+ * <p>Invariants: no wait is longer than {@link #INTERVAL}, and there is no wait while tasks are due. Not thread safe:
+ * confined to its event loop.
  */
 final class PacedSelection implements SelectStrategy {
 
-    /** Wake-ups of a busy loop are so far apart: a tenth of the shortest time for which copies work on a request. */
+    /** The shortest time between wake-ups of a busy loop: a tenth of the shortest processing time of copies. */
     static final Duration INTERVAL = Duration.ofMillis(2);
 
-    /** Wake-ups at once after a quiet time: a request on its way through an idle node needs four. */
-    static final int MOST_SAVED = 4;
+    /** The number of undelayed wake-ups after an idle time: forwarding a request through an idle node needs four. */
+    static final int MAXIMUM_BURST = 4;
 
     private final LongSupplier nanoTime;
     private final LongConsumer wait;
@@ -45,15 +46,15 @@
         if (hasTasks) {
             return selectNow.get();
         }
-        pace();
+        waitForInterval();
         return SelectStrategy.SELECT;
     }
 
-    private void pace() {
+    private void waitForInterval() {
         long interval = INTERVAL.toNanos();
         long now = nanoTime.getAsLong();
-        long earliest = Math.max(nextNanos, now - MOST_SAVED * interval) + interval;
-        // A wait may end early; the next one is not to make up for it.
+        long earliest = Math.max(nextNanos, now - MAXIMUM_BURST * interval) + interval;
+        // A wait may end early; later waits don't compensate for it.
         nextNanos = Math.min(earliest, now + interval);
         if (nextNanos > now) {
             wait.accept(nextNanos - now);
--- a/node/src/main/java/org/carawaysill/node/fleet/RequestLatencies.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/RequestLatencies.java
@@ -12,16 +12,19 @@
 import org.carawaysill.policy.time.Nanos;
 
 /**
- * Histograms of how long requests took at the node at which they began, by what became of them.
+ * Histograms of the latencies of requests at the node where they entered the fleet, by outcome.
  *
- * <p>Invariant: each final answer, and each client that left before it, is observed once. Thread safe.
+ * <p>Invariant: each final answer, and each client that left before its answer, is observed once. Thread safe.
  */
 final class RequestLatencies {
 
-    /** The name of the histogram without prefix; its unit is seconds. */
+    /** The name of the histogram without its prefix; the unit is seconds. */
     static final String SERIES = "request_seconds";
 
-    /** From a refusal at once, over the aims of routes (0.1 to 1.5 s), to the longest time limits of callers (6 s). */
+    /**
+     * Cover immediate refusals, the target latencies of routes (0.1 to 1.5 s) and the longest time limits of callers (6
+     * s).
+     */
     private static final double[] BUCKETS_SECONDS = {0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6};
 
     private final Map<ExchangeResult, DistributionDataPoint> points = new EnumMap<>(ExchangeResult.class);
@@ -40,7 +43,7 @@
         }
     }
 
-    /** Observes a decision that ends a request; others say nothing of its time. */
+    /** Observes a decision that ends a request and ignores all others. */
     void observe(Decision decision) {
         switch (decision) {
             case Decision.Answered answered -> observe(result(answered.outcome()), answered.tookNanos());
--- a/node/src/main/java/org/carawaysill/node/fleet/SuspectGauges.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/SuspectGauges.java
@@ -6,7 +6,7 @@
 import org.carawaysill.node.observation.Counters;
 import org.carawaysill.policy.fleet.FleetEffect;
 
-/** Shows how many requests are under suspicion of crashing copies. Thread safe. */
+/** Exports the number of requests that are suspected of crashing copies. Thread safe. */
 final class SuspectGauges {
 
     private final GaugeDataPoint suspected;
--- a/node/src/main/java/org/carawaysill/node/fleet/package-info.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** A node of a fleet with common routes: its one thread, its services, its log and its metrics. */
+/** A node of a fleet with shared routes: its event loop, its services, its decision log and its metrics. */
 @NullMarked
 package org.carawaysill.node.fleet;
 
--- a/node/src/test/java/org/carawaysill/node/fleet/FleetNodeTest.java
+++ b/node/src/test/java/org/carawaysill/node/fleet/FleetNodeTest.java
@@ -59,15 +59,15 @@
     }
 
     @Nested
-    class Starts {
+    class Start {
 
         /*
-         * A node dies 0.1 to 0.2 s after its start with what it was doing, by an illegal instruction inside the system's
-         * read, once in some 150 starts. Its main thread reads a class from a file there, while the event loop makes its
-         * first calls of the system.
+         * Guards against a crash by SIGILL 0.1 to 0.2 s after about one start in 150, which loses the requests in
+         * flight. It occurs inside the system's read function, when the main thread reads a class from a file while the
+         * event loop makes its first system calls.
          */
         @Test
-        void nothingOnTheThreadThatAsksForIt() throws Exception {
+        void runsEntirelyOnTheEventLoop() throws Exception {
             SingleThreadEventExecutor loop = (SingleThreadEventExecutor) eventLoop.get();
             CyclicBarrier held = new CyclicBarrier(2);
             Future<?> holding = loop.submit(() -> held.await() + held.await());
@@ -77,7 +77,7 @@
             held.await();
             holding.sync();
             started.join();
-            assertEquals(1, waiting, "more than the start itself was asked of the event loop meanwhile");
+            assertEquals(1, waiting, "the event loop received other tasks than the start itself");
         }
     }
 }
--- a/node/src/test/java/org/carawaysill/node/fleet/PacedSelectionTest.java
+++ b/node/src/test/java/org/carawaysill/node/fleet/PacedSelectionTest.java
@@ -29,7 +29,7 @@
     class Waiting {
 
         @Test
-        void neverComesWhileWakeUpsAreRare() throws Exception {
+        void doesNotOccurWhileWakeUpsAreRare() throws Exception {
             for (int i = 0; i < 100; i++) {
                 select();
                 now += INTERVAL + 1;
@@ -38,17 +38,17 @@
         }
 
         @Test
-        void sparesAFewWakeUpsAfterAQuietTime() throws Exception {
+        void allowsABurstAfterAnIdleTime() throws Exception {
             now += TimeUnit.SECONDS.toNanos(1);
-            for (int i = 0; i < PacedSelection.MOST_SAVED; i++) {
+            for (int i = 0; i < PacedSelection.MAXIMUM_BURST; i++) {
                 select();
             }
             assertEquals(0, waited);
         }
 
         /*
-         * A node with 1,500 wake-ups a second spent most of its processor time on waking up: days with many calls took more
-         * of it than a machine has. No more wake-ups than one an interval, whatever arrives.
+         * A node with 1,500 wake-ups per second spent most of its processor time on wake-ups, and days with many calls
+         * used more than the machine had. Checks that there is at most one wake-up per interval, whatever arrives.
          */
         @Test
         void spacesTheWakeUpsOfABusyLoop() throws Exception {
@@ -59,16 +59,19 @@
                 select();
                 now += INTERVAL / 10;
             }
-            assertTrue(now - begin >= (wakeUps - PacedSelection.MOST_SAVED) * INTERVAL);
+            assertTrue(now - begin >= (wakeUps - PacedSelection.MAXIMUM_BURST) * INTERVAL);
         }
     }
 
     @Nested
     class Interruption {
 
-        /* A wait may end early, as by an interrupt: a loop that added up what it missed would sleep for seconds later. */
+        /*
+         * A wait may end early, for example by an interrupt; a loop that accumulated the missed time would sleep for
+         * seconds later.
+         */
         @Test
-        void isNotMadeUpFor() throws Exception {
+        void isNotCompensated() throws Exception {
             PacedSelection interrupted = new PacedSelection(() -> now, nanos -> waited = Math.max(waited, nanos));
             for (int i = 0; i < 100; i++) {
                 interrupted.calculateStrategy(() -> 0, false);
@@ -81,7 +84,7 @@
     class Tasks {
 
         @Test
-        void areNotKeptWaiting() throws Exception {
+        void areNotDelayed() throws Exception {
             for (int i = 0; i < 100; i++) {
                 assertEquals(7, selection.calculateStrategy(() -> 7, true));
             }
--- a/node/src/test/java/org/carawaysill/node/fleet/RequestLatenciesTest.java
+++ b/node/src/test/java/org/carawaysill/node/fleet/RequestLatenciesTest.java
@@ -39,7 +39,7 @@
     class Observing {
 
         @Test
-        void countsEndsOfRequestsByTheirOutcome() {
+        void recordsFinishedRequestsByOutcome() {
             Outcome refusal = new Outcome.NotRun(
                     RefusalReason.OVERLOAD, Duration.ofMillis(300), Step.ADMISSION, Optional.empty());
             latencies.observe(
@@ -49,7 +49,7 @@
         }
 
         @Test
-        void leavesOutWhatEndsNoRequest() {
+        void ignoresDecisionsThatEndNoRequest() {
             latencies.observe(new Decision.NodeChanged("ready", "version=1"));
             assertEquals(Map.of("answered", 0.0, "not_run", 0.0, "unknown", 0.0, "closed", 0.0), sums());
         }
