--- a/node/src/main/java/org/carawaysill/node/entry/Credentials.java
+++ b/node/src/main/java/org/carawaysill/node/entry/Credentials.java
@@ -10,10 +10,11 @@
 import org.carawaysill.model.request.Header;
 
 /**
- * Reads what a request presents in its Authorization field: a scheme, spaces, and a key (RFC 9110, section 11.6.2).
+ * Reads the key from the Authorization header field of a request: a scheme, spaces and the key (RFC 9110, section
+ * 11.6.2).
  *
- * <p>Invariant: of several fields no key is read, since other readers in the path might choose another one of them. Stateless
- * and thread safe.
+ * <p>Invariant: if there are several fields, none is read, since other readers on the path might choose a different
+ * one. Stateless and thread safe.
  */
 final class Credentials {
 
--- a/node/src/main/java/org/carawaysill/node/entry/EntryAnswers.java
+++ b/node/src/main/java/org/carawaysill/node/entry/EntryAnswers.java
@@ -25,10 +25,10 @@
 import org.carawaysill.node.observation.Counters;
 
 /**
- * Makes HTTP answers of what requests came to.
+ * Creates HTTP answers from the outcomes of requests.
  *
- * <p>Invariants: a copy's answer passes with its status, its fields and its whole body; 503 is said only of what no copy
- * ran. Stateless and thread safe.
+ * <p>Invariants: an answer of a copy is passed on with its status, its header fields and its whole body; status 503 is
+ * used only for requests that no copy ran. Stateless and thread safe.
  */
 final class EntryAnswers {
 
--- a/node/src/main/java/org/carawaysill/node/entry/EntryConnection.java
+++ b/node/src/main/java/org/carawaysill/node/entry/EntryConnection.java
@@ -32,20 +32,23 @@
 import org.carawaysill.policy.fleet.FleetEvent;
 
 /**
- * One client's connection.
+ * The connection of a client.
  *
- * <p>Requests that arrive before earlier ones are answered are worked on together; the answers go out in the order of the
- * requests. Invariants: each whole request gets one answer or the connection ends; after an answer that closes the
- * connection nothing more is taken from it. Confined to the event loop.
+ * <p>Pipelined requests are processed concurrently; their answers are written in the order of the requests. Invariants:
+ * each complete request gets one answer or the connection ends; after an answer that closes the connection, no further
+ * input is processed. Not thread safe: confined to the event loop.
  */
 final class EntryConnection extends ChannelInboundHandlerAdapter {
 
-    /** Guards against a client that sends without end before it reads: it is not read from while so many are open. */
-    private static final int MOST_OPEN = 64;
+    /**
+     * The number of open exchanges at which reading from the client pauses. Guards against a client that keeps sending
+     * requests without reading the answers.
+     */
+    private static final int MAXIMUM_OPEN_EXCHANGES = 64;
 
     /**
-     * Guards against a client that does not read its answers, which would be kept in memory as long as it stays. Longer
-     * than any client waits for an answer.
+     * The time limit for a client to read its answers, which stay in memory until then. Longer than any client waits
+     * for an answer.
      */
     private static final Duration READ_LIMIT = Duration.ofSeconds(20);
 
@@ -56,13 +59,13 @@
     private Optional<ChannelHandlerContext> channel = Optional.empty();
     private Optional<RequestHead> head = Optional.empty();
     private byte[] body = new byte[0];
-    private int taken;
-    private boolean refusing;
+    private int bodyLength;
+    private boolean rejecting;
     private boolean closing;
-    private long quietSinceNanos;
+    private long lastProgressNanos;
     private boolean receiving;
-    private boolean headBegun;
-    private long headBegunNanos;
+    private boolean headStarted;
+    private long headStartNanos;
     private int unwritten;
     private long unwrittenSinceNanos;
 
@@ -73,17 +76,17 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         channel = Optional.of(context);
-        quietSinceNanos = server.nanoTime();
+        lastProgressNanos = server.nanoTime();
         server.opened(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         server.closed(this);
-        giveBackBody();
+        discardBody();
         while (!open.isEmpty()) {
             EntryExchange exchange = open.poll();
-            server.forget(exchange);
+            server.removeExchange(exchange);
             if (exchange.answer().isEmpty()) {
                 server.handle(new FleetEvent.ExchangeClosed(exchange.identifier()));
             } else {
@@ -108,18 +111,18 @@
         if (message instanceof HttpRequest request) {
             beginRequest(context, request);
         }
-        if (message instanceof HttpContent content && !refusing) {
+        if (message instanceof HttpContent content && !rejecting) {
             receiveBody(content);
         }
     }
 
     private void beginRequest(ChannelHandlerContext context, HttpRequest request) {
-        refusing = false;
-        headBegun = false;
-        quietSinceNanos = server.nanoTime();
+        rejecting = false;
+        headStarted = false;
+        lastProgressNanos = server.nanoTime();
         DecoderResult decoded = request.decoderResult();
         if (decoded.isFailure()) {
-            refuse(undecodable(decoded.cause()), "");
+            refuse(decodingFault(decoded.cause()), "");
             return;
         }
         RequestHead read = RequestHead.of(request, server.dialect());
@@ -134,7 +137,7 @@
         head = Optional.of(read);
     }
 
-    private static BadRequest undecodable(Throwable cause) {
+    private static BadRequest decodingFault(Throwable cause) {
         return switch (cause) {
             case TooLongHttpLineException _ -> BadRequest.LINE_TOO_LONG;
             case TooLongHttpHeaderException _ -> BadRequest.HEADERS_TOO_LARGE;
@@ -154,14 +157,14 @@
         if (bytes.isReadable()) {
             append(bytes);
         }
-        if (content instanceof LastHttpContent && !refusing) {
+        if (content instanceof LastHttpContent && !rejecting) {
             endRequest(head.get());
         }
     }
 
     private void append(ByteBuf bytes) {
         int added = bytes.readableBytes();
-        if (taken + (long) added > server.limits().bodyBytes()) {
+        if (bodyLength + (long) added > server.limits().bodyBytes()) {
             refuse(BadRequest.BODY_TOO_LARGE, requestName());
             return;
         }
@@ -169,26 +172,26 @@
             refuse(BadRequest.BODIES_FILL_MEMORY, requestName());
             return;
         }
-        if (body.length < taken + added) {
-            int capacity =
-                    Math.max(taken + added, head.map(RequestHead::statedLength).orElse(0));
-            body = Arrays.copyOf(body, Math.max(capacity, Math.min(2 * body.length, taken + 2 * added)));
+        if (body.length < bodyLength + added) {
+            int capacity = Math.max(
+                    bodyLength + added, head.map(RequestHead::statedLength).orElse(0));
+            body = Arrays.copyOf(body, Math.max(capacity, Math.min(2 * body.length, bodyLength + 2 * added)));
         }
-        bytes.readBytes(body, taken, added);
-        taken += added;
+        bytes.readBytes(body, bodyLength, added);
+        bodyLength += added;
     }
 
     private void endRequest(RequestHead read) {
-        byte[] whole = body.length == taken ? body : Arrays.copyOf(body, taken);
+        byte[] whole = body.length == bodyLength ? body : Arrays.copyOf(body, bodyLength);
         ExchangeIdentifier identifier = server.nextIdentifier();
         EntryExchange exchange =
-                new EntryExchange(identifier, read.requestName(), read.isHead(), !read.keepsAlive(), taken);
+                new EntryExchange(identifier, read.requestName(), read.isHead(), !read.keepsAlive(), bodyLength);
         resetRequest();
         receiving = false;
-        quietSinceNanos = server.nanoTime();
+        lastProgressNanos = server.nanoTime();
         open.add(exchange);
-        server.remember(exchange, this);
-        if (open.size() >= MOST_OPEN) {
+        server.addExchange(exchange, this);
+        if (open.size() >= MAXIMUM_OPEN_EXCHANGES) {
             channel.ifPresent(context -> context.channel().config().setAutoRead(false));
         }
         server.handle(new FleetEvent.RequestArrived(
@@ -207,20 +210,20 @@
     private void resetRequest() {
         head = Optional.empty();
         body = new byte[0];
-        taken = 0;
+        bodyLength = 0;
     }
 
-    private void giveBackBody() {
-        server.bodies().giveBack(taken);
+    private void discardBody() {
+        server.bodies().giveBack(bodyLength);
         resetRequest();
     }
 
-    /** Answers a request that can't be taken, behind the answers still due, and closes the connection after that. */
+    /** Answers a request that can't be accepted, after the pending answers, and then closes the connection. */
     private void refuse(BadRequest kind, String requestName) {
-        giveBackBody();
-        refusing = true;
+        discardBody();
+        rejecting = true;
         receiving = false;
-        server.countBad(kind, requestName);
+        server.countBadRequest(kind, requestName);
         EntryExchange exchange = new EntryExchange(server.nextIdentifier(), requestName, false, true, 0);
         exchange.answer(server.answers().ofBad(kind, exchange));
         open.add(exchange);
@@ -230,7 +233,7 @@
     /** Writes the outcome of a request. */
     void answer(EntryExchange exchange, Outcome outcome) {
         exchange.answer(server.answers().of(outcome, exchange));
-        server.forget(exchange);
+        server.removeExchange(exchange);
         writeAnswers();
     }
 
@@ -240,66 +243,70 @@
             write(context, open.poll());
         }
         context.flush();
-        if (open.size() < MOST_OPEN && !context.channel().config().isAutoRead() && !closing) {
+        if (open.size() < MAXIMUM_OPEN_EXCHANGES && !context.channel().config().isAutoRead() && !closing) {
             context.channel().config().setAutoRead(true);
         }
     }
 
     private void write(ChannelHandlerContext context, EntryExchange exchange) {
         FullHttpResponse response = exchange.answer().orElseThrow();
-        quietSinceNanos = server.nanoTime();
+        lastProgressNanos = server.nanoTime();
         boolean last = exchange.isClosing() || server.isStopping() && open.isEmpty() && !receiving;
         if (unwritten++ == 0) {
-            unwrittenSinceNanos = quietSinceNanos;
+            unwrittenSinceNanos = lastProgressNanos;
         }
         if (last) {
             closing = true;
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            context.write(response).addListener(_ -> closeInOrder(context));
+            context.write(response).addListener(_ -> shutDownGracefully(context));
         } else {
-            context.write(response).addListener(_ -> writtenOne());
+            context.write(response).addListener(_ -> answerWritten());
         }
     }
 
     /**
-     * Ends the own side first, and the connection once the client has done so too. Guards against a close with unread
-     * bytes, at which the operating system resets the connection and the client may lose the answer.
+     * Shuts down the node's own direction first, and closes the connection after the client has had time to do the
+     * same. If a connection is closed with unread bytes, the operating system resets it and the client may lose the
+     * answer.
      */
-    private static void closeInOrder(ChannelHandlerContext context) {
+    private static void shutDownGracefully(ChannelHandlerContext context) {
         ((SocketChannel) context.channel()).shutdownOutput();
         context.executor().schedule(() -> context.close(), LINGER.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void writtenOne() {
+    private void answerWritten() {
         unwritten--;
         unwrittenSinceNanos = server.nanoTime();
     }
 
-    /** Notes that bytes came, before it is known whether they are a whole request head. */
+    /** Records the arrival of bytes that may or may not form a complete request head. */
     void bytesArrived() {
-        if (!receiving && !headBegun) {
-            headBegun = true;
-            headBegunNanos = server.nanoTime();
+        if (!receiving && !headStarted) {
+            headStarted = true;
+            headStartNanos = server.nanoTime();
         }
     }
 
-    /** Ends what takes too long: a request head, a body, a pause, or a client that does not read. */
+    /**
+     * Ends requests and connections that exceed a time limit: a slow request head, a slow body, an idle connection, or
+     * a client that doesn't read its answers.
+     */
     void sweep(long now) {
         ClientLimits limits = server.limits();
         if (!closing
-                && headBegun
-                && now - headBegunNanos > limits.headerTimeout().toNanos()) {
-            headBegun = false;
+                && headStarted
+                && now - headStartNanos > limits.headerTimeout().toNanos()) {
+            headStarted = false;
             refuse(BadRequest.HEAD_TOO_SLOW, "");
         } else if (!closing
                 && receiving
-                && now - quietSinceNanos > limits.idleTimeout().toNanos()) {
+                && now - lastProgressNanos > limits.idleTimeout().toNanos()) {
             refuse(BadRequest.BODY_TOO_SLOW, requestName());
         } else if (unwritten > 0 && now - unwrittenSinceNanos > READ_LIMIT.toNanos()) {
             end(ConnectionFault.SLOW_READER);
         } else if (!closing
                 && isIdle()
-                && now - quietSinceNanos > limits.idleTimeout().toNanos()) {
+                && now - lastProgressNanos > limits.idleTimeout().toNanos()) {
             end(ConnectionFault.SLOW_HEADER);
         }
     }
@@ -314,7 +321,7 @@
         channel.ifPresent(ChannelHandlerContext::close);
     }
 
-    /** Closes the connection if it has nothing to do. */
+    /** Closes the connection if no request is in progress. */
     void closeIfIdle() {
         if (isIdle() && !closing) {
             closing = true;
--- a/node/src/main/java/org/carawaysill/node/entry/EntryExchange.java
+++ b/node/src/main/java/org/carawaysill/node/entry/EntryExchange.java
@@ -5,9 +5,9 @@
 import org.carawaysill.model.identity.ExchangeIdentifier;
 
 /**
- * One request of a client, from its end until its answer is written.
+ * A request of a client, from its last byte until its answer is written.
  *
- * <p>Confined to the event loop.
+ * <p>Not thread safe: confined to the event loop.
  */
 final class EntryExchange {
 
@@ -19,13 +19,13 @@
     private Optional<FullHttpResponse> answer = Optional.empty();
 
     /**
-     * Makes an exchange without an answer.
+     * Creates an exchange without an answer.
      *
-     * @param identifier names it to the policy
-     * @param requestName the client's own name for the request; empty where it gave none
+     * @param identifier identifies the exchange to the policy
+     * @param requestName the client's own name for the request; empty if it gave none
      * @param head whether the answer must have no body
      * @param closing whether the client wants the connection closed after the answer
-     * @param bodyBytes the memory taken for the request's body
+     * @param bodyBytes the memory reserved for the request's body
      */
     EntryExchange(ExchangeIdentifier identifier, String requestName, boolean head, boolean closing, int bodyBytes) {
         this.identifier = identifier;
--- a/node/src/main/java/org/carawaysill/node/entry/EntryServer.java
+++ b/node/src/main/java/org/carawaysill/node/entry/EntryServer.java
@@ -39,21 +39,21 @@
 import org.carawaysill.policy.fleet.FleetEvent;
 
 /**
- * The HTTP server for the requests that begin on this VM: those of clients, and the calls of the local copy.
+ * The HTTP server for the requests that enter the fleet on this VM: those of clients, and the calls of the local copy.
  *
- * <p>Invariant: each whole request becomes one event, and gets one answer or the end of its connection. The methods of
- * {@link Service} are thread safe, all else is confined to the event loop.
+ * <p>Invariant: each complete request becomes one event, and ends with one answer or with the end of its connection.
+ * The methods of {@link Service} are thread safe; everything else is confined to the event loop.
  */
 public final class EntryServer implements Service {
 
     /** The name under which the service is registered. */
     public static final String NAME = "entry";
 
-    private static final int LONGEST_LINE_BYTES = 8192;
+    private static final int MAXIMUM_LINE_BYTES = 8192;
     private static final int CHUNK_BYTES = 64 * 1024;
     private static final int BACKLOG = 1024;
 
-    /** How often connections are looked at for timeouts. */
+    /** The interval at which connections are checked for timeouts. */
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(500);
 
     private final EventLoop eventLoop;
@@ -72,14 +72,14 @@
     private boolean stopping;
 
     /**
-     * Makes a server that does not listen yet.
+     * Creates a server that doesn't listen yet.
      *
-     * @param eventLoop the thread that it works on
-     * @param address where it listens
+     * @param eventLoop the thread that runs the server
+     * @param address the address to listen on
      * @param dialect the names of header fields
-     * @param bodyMemory the bytes that the bodies of all open exchanges may take together
-     * @param events who hears of requests
-     * @param registry where the counters and the log are found
+     * @param bodyMemory the maximum number of bytes of the bodies of all open exchanges together
+     * @param events receives the events of requests
+     * @param registry provides the counters and the decision log
      */
     public EntryServer(
             EventLoop eventLoop,
@@ -144,7 +144,7 @@
                     }
                 })
                 .addLast(new StrictRequestDecoder(new HttpDecoderConfig()
-                        .setMaxInitialLineLength(Math.min(LONGEST_LINE_BYTES, limits.headerBytes()))
+                        .setMaxInitialLineLength(Math.min(MAXIMUM_LINE_BYTES, limits.headerBytes()))
                         .setMaxHeaderSize(limits.headerBytes())
                         .setMaxChunkSize(CHUNK_BYTES)
                         .setStrictLineParsing(true)))
@@ -164,7 +164,7 @@
     }
 
     /**
-     * Returns where the server listens.
+     * Returns the port on which the server listens.
      *
      * @return the bound port
      */
@@ -177,7 +177,7 @@
      * Answers an exchange.
      *
      * @param identifier the exchange
-     * @param outcome what its request came to
+     * @param outcome the outcome of its request
      */
     public void answer(ExchangeIdentifier identifier, Outcome outcome) {
         Open open = exchanges.get(identifier);
@@ -187,7 +187,7 @@
     }
 
     /**
-     * Applies other limits to clients, for connections that begin from now on where they concern the size of heads.
+     * Applies new limits to clients. Limits of the size of request heads apply only to new connections.
      *
      * @param newer the limits
      */
@@ -195,7 +195,7 @@
         limits = newer;
     }
 
-    /** Lets each connection end with the next answer that leaves nothing open on it. */
+    /** Closes each connection with the next answer that leaves no request open on it. */
     public void beginStop() {
         stopping = true;
     }
@@ -245,17 +245,17 @@
         connections.remove(connection);
     }
 
-    void remember(EntryExchange exchange, EntryConnection connection) {
+    void addExchange(EntryExchange exchange, EntryConnection connection) {
         exchanges.put(exchange.identifier(), new Open(exchange, connection));
     }
 
-    void forget(EntryExchange exchange) {
+    void removeExchange(EntryExchange exchange) {
         if (exchanges.remove(exchange.identifier()) != null) {
             bodies.giveBack(exchange.bodyBytes());
         }
     }
 
-    void countBad(BadRequest kind, String requestName) {
+    void countBadRequest(BadRequest kind, String requestName) {
         counters.count(kind);
         log.badRequest(requestName, kind);
     }
@@ -264,6 +264,6 @@
         counters.count(fault);
     }
 
-    /** An exchange that is not answered yet, and where its answer goes. */
+    /** An exchange that is not answered yet, with the connection for its answer. */
     private record Open(EntryExchange exchange, EntryConnection connection) {}
 }
--- a/node/src/main/java/org/carawaysill/node/entry/RequestHead.java
+++ b/node/src/main/java/org/carawaysill/node/entry/RequestHead.java
@@ -25,15 +25,15 @@
  * <p>Immutable and thread safe.
  *
  * @param method the method
- * @param target path and query, or a whole address
- * @param host the host named by the request
- * @param requestName the client's own name for the request; empty where it gave none
- * @param patience how long the client waits, if it says so
- * @param statedLength the body's length if it is stated, else 0
- * @param keepsAlive whether the client may send more on the connection
- * @param framing whether the body ends where every reader of it must see the end
- * @param credential what shows its organisation
- * @param headers the fields that pass
+ * @param target the path and query, or an absolute URI
+ * @param host the value of the Host field
+ * @param requestName the client's own name for the request; empty if it gave none
+ * @param patience how long the client waits for the answer, if stated
+ * @param statedLength the value of Content-Length, or 0 if there is none
+ * @param keepsAlive whether the client may send further requests on the connection
+ * @param framing whether the end of the body is unambiguous for all readers
+ * @param credential identifies the client's organisation
+ * @param headers the header fields that are passed on
  */
 record RequestHead(
         String method,
@@ -49,10 +49,10 @@
 
     private static final String CHUNKED = "chunked";
 
-    /** A length beyond this is more than any body that a node takes whole. */
-    private static final int LONGEST_STATED = Integer.MAX_VALUE;
+    /** Larger than any body that a node accepts. */
+    private static final int MAXIMUM_STATED_LENGTH = Integer.MAX_VALUE;
 
-    private static final long LONGEST_PATIENCE_MILLIS = Duration.ofHours(1).toMillis();
+    private static final long MAXIMUM_PATIENCE_MILLIS = Duration.ofHours(1).toMillis();
 
     static RequestHead of(HttpRequest request, WireDialect dialect) {
         String host = request.headers().get(HttpHeaderNames.HOST, "");
@@ -62,11 +62,11 @@
                 host,
                 request.headers().get(dialect.requestName(), ""),
                 patience(request.headers().get(dialect.patience())),
-                (int) Math.min(LONGEST_STATED, Math.max(0, HttpUtil.getContentLength(request, 0L))),
+                (int) Math.min(MAXIMUM_STATED_LENGTH, Math.max(0, HttpUtil.getContentLength(request, 0L))),
                 HttpUtil.isKeepAlive(request),
-                isFramedOnce(request),
+                isFramedUnambiguously(request),
                 Credentials.of(request.headers(), dialect.keyScheme()),
-                passing(request, host, dialect));
+                forwardedHeaders(request, host, dialect));
     }
 
     private static Optional<Duration> patience(@Nullable String text) {
@@ -78,17 +78,18 @@
             if (!(millis >= 0)) {
                 return Optional.empty();
             }
-            return Optional.of(Duration.ofNanos((long) (Math.min(millis, LONGEST_PATIENCE_MILLIS) * 1_000_000)));
+            return Optional.of(Duration.ofNanos((long) (Math.min(millis, MAXIMUM_PATIENCE_MILLIS) * 1_000_000)));
         } catch (NumberFormatException unreadable) {
             return Optional.empty();
         }
     }
 
     /**
-     * Guards against a body that this node and another reader in the path would end at different places, which shows as a
-     * second request smuggled into the first: a length and chunks together, two lengths, or another coding than chunks.
+     * Checks for ambiguous framing, which enables request smuggling: this node and another reader on the path could see
+     * the end of the body at different places. Rejects a length combined with chunks, two lengths, and transfer codings
+     * other than chunked.
      */
-    private static boolean isFramedOnce(HttpRequest request) {
+    private static boolean isFramedUnambiguously(HttpRequest request) {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         List<String> lengths = request.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
         if (codings.isEmpty()) {
@@ -100,11 +101,11 @@
                 && request.protocolVersion().equals(HttpVersion.HTTP_1_1);
     }
 
-    private static List<Header> passing(HttpRequest request, String host, WireDialect dialect) {
+    private static List<Header> forwardedHeaders(HttpRequest request, String host, WireDialect dialect) {
         List<Header> headers = new ArrayList<>();
         headers.add(new Header("Host", host));
         for (Header header : HeaderHygiene.ofRequest(request.headers().entries())) {
-            if (!isOwn(header.name(), dialect)) {
+            if (!isWithheld(header.name(), dialect)) {
                 headers.add(header);
             }
         }
@@ -112,11 +113,11 @@
     }
 
     /**
-     * The fields that are written anew for the copy, and the one that may hold a key. A name with underscores counts too:
-     * some programs take them for hyphens. The request's name travels beside its content, and a second time in it
-     * would be a tenth of the bytes of a call three levels deep, whose name is 67 characters long.
+     * Returns whether a field is set anew by the node for the copy, or may hold a key. A name with underscores counts
+     * as well, because some programs treat underscores as hyphens. The request's name is sent beside its content;
+     * sending it twice would add a tenth to the bytes of a call three levels deep, whose name is 67 characters long.
      */
-    private static boolean isOwn(String name, WireDialect dialect) {
+    private static boolean isWithheld(String name, WireDialect dialect) {
         return name.equalsIgnoreCase(dialect.requestName())
                 || name.equalsIgnoreCase(dialect.patience())
                 || name.equalsIgnoreCase(dialect.copy())
--- a/node/src/main/java/org/carawaysill/node/entry/StrictRequestDecoder.java
+++ b/node/src/main/java/org/carawaysill/node/entry/StrictRequestDecoder.java
@@ -5,10 +5,10 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Decodes requests, and refuses those whose body could be seen to end at two places.
+ * Decodes requests and rejects those with ambiguous framing of the body.
  *
- * <p>The library drops the length where a request states chunks too. Another reader in the path might drop the chunks
- * instead, and take a part of the body for the next request. Confined to the event loop.
+ * <p>Netty drops the length if a request states both a length and chunks. Another reader on the path might drop the
+ * chunks instead and read a part of the body as the next request. Not thread safe: confined to the event loop.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
@@ -18,6 +18,6 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("a length and chunks");
+        throw new IllegalArgumentException("both Content-Length and Transfer-Encoding: chunked are set");
     }
 }
--- a/node/src/main/java/org/carawaysill/node/entry/package-info.java
+++ b/node/src/main/java/org/carawaysill/node/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The HTTP server at which a fleet's node takes requests of clients and of its copy. */
+/** The HTTP server on which a fleet node accepts requests of clients and of its own copy. */
 @NullMarked
 package org.carawaysill.node.entry;
 
--- a/node/src/test/java/org/carawaysill/node/entry/CredentialsTest.java
+++ b/node/src/test/java/org/carawaysill/node/entry/CredentialsTest.java
@@ -22,7 +22,7 @@
         return headers;
     }
 
-    /** Whatever clients present, at most one key is read, and none shows in the text form. */
+    /** Whatever clients send, at most one key is read, and no key appears in the result of toString. */
     @Property(tries = 2000, seed = "20261203")
     void readsAtMostOneKeyOfAnyFields(@ForAll("values") List<String> values) {
         Credential credential = Credentials.of(headers(values), "Token");
--- a/node/src/test/java/org/carawaysill/node/entry/EntryServerTest.java
+++ b/node/src/test/java/org/carawaysill/node/entry/EntryServerTest.java
@@ -79,7 +79,7 @@
     class Requests {
 
         @Test
-        void arriveWholeWithoutWhatTheNodeWritesAnew() {
+        void arriveCompleteWithoutTheFieldsThatTheNodeSets() {
             send(
                     "POST /bills/7?x=1 HTTP/1.1\r\nHost: fleet.example\r\nName: a\r\nPatience: 1500\r\nCaller: forged\r\n"
                             + "Copy: forged\r\nOther: kept\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
@@ -95,11 +95,11 @@
         }
 
         /*
-         * An agent's program sends three lookups at once on one connection. Worked on one after the other, the third waits
-         * for the sum of all; the answers must still come in the order of the requests.
+         * A client pipelines three lookups on one connection. If they were processed one after the other, the third
+         * would wait for the sum of all; the answers must still be in the order of the requests.
          */
         @Test
-        void onOneConnectionAreWorkedOnTogetherAndAnsweredInOrder() {
+        void onOneConnectionRunConcurrentlyAndAreAnsweredInOrder() {
             RawConnection connection = send(get("a") + get("b") + get("c"));
             FleetEvent.RequestArrived first = arrived();
             FleetEvent.RequestArrived second = arrived();
@@ -113,7 +113,7 @@
         }
 
         @Test
-        void ofAClientThatLeavesAreToldOf() {
+        void ofAClientThatDisconnectsAreReported() {
             RawConnection connection = send(get("a"));
             ExchangeIdentifier exchange = arrived().exchange();
             connection.close();
@@ -140,7 +140,7 @@
             "AUTHORIZATION: token   abc",
             "Authorization: TOKEN abc  "
         })
-        void areReadInAnySpellingAndDoNotGoOn(String field) {
+        void areReadInAnyCaseAndNotForwarded(String field) {
             FleetEvent.RequestArrived request = with(field);
             assertEquals(Optional.of(digest("abc")), request.credential().key());
             assertEquals(
@@ -148,7 +148,7 @@
                     request.content().headers());
         }
 
-        /** Guards against a node that chooses one of several readings of what a client presents. */
+        /** Guards against a node that selects one of several possible readings of the credentials. */
         @ParameterizedTest
         @CsvSource({
             "Authorization: Token",
@@ -161,7 +161,7 @@
             "'Authorization: Token abc\r\nAuthorization: Token abc'",
             "'Authorization: Token abc\r\nAuthorization: Token def'"
         })
-        void thatAreNotOneKeyArePresentedAndUnreadable(String fields) {
+        void thatAreNotASingleKeyCountAsPresentedButUnreadable(String fields) {
             FleetEvent.RequestArrived request = with(fields.replace("\\r\\n", "\r\n"));
             assertTrue(request.credential().isPresented());
             assertEquals(Optional.empty(), request.credential().key());
@@ -171,17 +171,17 @@
         }
 
         @Test
-        void ofAnyLengthWithinTheLimitAreOnlyDigested() {
+        void ofAnyLengthWithinTheLimitAreKeptOnlyAsDigests() {
             limit(new ClientLimits(16_384, 10_000, Duration.ofSeconds(20), Duration.ofSeconds(20)));
             String key = "x".repeat(10_000);
             FleetEvent.RequestArrived request = with("Authorization: Token " + key);
             assertEquals(Optional.of(digest(key)), request.credential().key());
-            assertFalse(request.toString().contains("xxx"), "a key in the text form of an event");
+            assertFalse(request.toString().contains("xxx"), "toString of the event contains the key");
         }
 
-        /** A field folded over two lines is obsolete, and other readers in the path may see two fields. */
+        /** A field folded over two lines is obsolete, and other readers on the path may see two fields. */
         @Test
-        void foldedOverLinesAreRefusedOrReadAsOneField() {
+        void foldedOverLinesAreReadAsOneField() {
             RawConnection connection = send("GET /a HTTP/1.1\r\nHost: fleet.example\r\nName: a\r\n"
                     + "Authorization: Token\r\n abc\r\nOther: b\r\n\r\n");
             FleetEvent.RequestArrived request = arrived();
@@ -199,7 +199,7 @@
             "'Organisation: a\r\nORGANISATION: b'",
             "Connection: organisation"
         })
-        void areNotReplacedByAnOrganisationThatTheClientNames(String fields) {
+        void areNotReplacedByAnOrganisationInAClientsHeader(String fields) {
             FleetEvent.RequestArrived request = with(fields.replace("\\r\\n", "\r\n"));
             assertEquals(
                     List.of(new Header("Host", "fleet.example")),
@@ -211,7 +211,7 @@
     class Answers {
 
         @Test
-        void ofACopyPassUnchanged() {
+        void ofACopyAreForwardedUnchanged() {
             RawConnection connection = send(get("a"));
             answer(
                     arrived().exchange(),
@@ -246,7 +246,7 @@
 
         @ParameterizedTest
         @CsvSource({"DEADLINE, 504", "COPY_LOST, 502", "PEER_LOST, 502"})
-        void promiseNothingWhereItMayHaveRun(UnknownReason reason, int status) {
+        void sayThatARequestMayHaveRun(UnknownReason reason, int status) {
             RawConnection connection = send(get("a"));
             answer(arrived().exchange(), new Outcome.Unknown(reason, Step.COPY_WAIT, Optional.empty()));
             String message = connection.readMessage();
@@ -269,7 +269,7 @@
                     "nonsense~~|400",
                     "POST / HTTP/1.1~Host: f~Name: a~Content-Length: 20000~~|413"
                 })
-        void getAClearRefusalAndNothingOfTheirsGoesOn(String request, int status) {
+        void areRejectedAndNothingIsForwarded(String request, int status) {
             RawConnection connection = send(request.replace("~", "\r\n"));
             assertTrue(connection.readMessage().startsWith("HTTP/1.1 " + status));
             assertTrue(bench.hasNone());
@@ -277,27 +277,27 @@
         }
 
         @Test
-        void whoseLinesEndWithBareFeedsSmuggleNothing() {
+        void withBareLineFeedsCannotSmuggleRequests() {
             send("GET / HTTP/1.1\nHost: f\nName: a\n\n").readMessage();
             assertTrue(bench.hasNone());
         }
 
         @Test
-        void whoseHeadIsTooLargeAreToldSo() {
+        void withATooLargeHeadAreRejected() {
             RawConnection connection =
                     send("GET / HTTP/1.1\r\nHost: f\r\nName: a\r\nLong: " + "x".repeat(9000) + "\r\n\r\n");
             assertTrue(connection.readMessage().startsWith("HTTP/1.1 431"));
         }
 
         @Test
-        void whoseHeadIsTooSlowAreToldSo() {
+        void withATooSlowHeadAreRejected() {
             limit(new ClientLimits(4096, 10_000, Duration.ofMillis(300), Duration.ofSeconds(20)));
             RawConnection connection = send("GET / HTTP/1.1\r\nHost: f");
             assertTrue(connection.readMessage().startsWith("HTTP/1.1 408"));
         }
 
         @Test
-        void whoSendMoreThanTheMemoryForBodiesAreRefusedAndOthersServed() {
+        void thatExceedTheMemoryForBodiesAreRejectedWhileOthersAreServed() {
             limit(new ClientLimits(4096, 1_000_000, Duration.ofSeconds(20), Duration.ofSeconds(20)));
             RawConnection connection = send("POST / HTTP/1.1\r\nHost: f\r\nName: a\r\nContent-Length: 200000\r\n\r\n");
             connection.write("x".repeat(150_000));
@@ -312,7 +312,7 @@
     class Stopping {
 
         @Test
-        void answersWhatIsOpenAndClosesTheConnectionWithThat() {
+        void answersOpenExchangesAndThenClosesTheConnection() {
             RawConnection connection = send(get("a"));
             ExchangeIdentifier exchange = arrived().exchange();
             bench.onLoop(server::beginStop);
