--- a/node/src/main/java/org/carawaysill/node/upstream/AnswerCheck.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/AnswerCheck.java
@@ -7,7 +7,7 @@
 import org.carawaysill.node.entry.WireDialect;
 
 /**
- * Returns what an answer of the local copy is worth, before its body is read.
+ * Classifies an answer of the local copy by its head, before the body is read.
  *
  * <p>Stateless and thread safe.
  */
@@ -15,16 +15,16 @@
 
     private static final String IDENTITY = "identity";
 
-    /** What an answer is. */
+    /** The classification of an answer. */
     enum Verdict {
         /** The copy's answer to this request. */
         OWN,
-        /** An answer to another request: a late or a second one. */
+        /** An answer to another request, which is late or a duplicate. */
         FOREIGN,
-        /** The copy says that it did not run the request. */
+        /** The copy states that it did not run the request. */
         NOT_RUN,
-        /** Not what a sound copy sends. */
-        SPOILT
+        /** Not a valid answer of a copy. */
+        INVALID
     }
 
     private final WireDialect dialect;
@@ -33,7 +33,7 @@
         this.dialect = dialect;
     }
 
-    Verdict judge(HttpResponse response, String requestName) {
+    Verdict classify(HttpResponse response, String requestName) {
         String echoed = response.headers().get(dialect.requestName());
         if (echoed != null && !echoed.equals(requestName)) {
             return Verdict.FOREIGN;
@@ -43,11 +43,12 @@
         }
         boolean success = response.status().codeClass() == HttpStatusClass.SUCCESS;
         if (echoed == null || success && !response.headers().contains(dialect.seal())) {
-            return Verdict.SPOILT;
+            return Verdict.INVALID;
         }
-        // A copy is asked for bodies without any encoding: one that has it is not the copy's.
+        // Requests ask the copy for bodies without content coding, so an answer that has one doesn't come from the
+        // copy.
         String encoding = response.headers().get(HttpHeaderNames.CONTENT_ENCODING, IDENTITY);
-        return encoding.equalsIgnoreCase(IDENTITY) ? Verdict.OWN : Verdict.SPOILT;
+        return encoding.equalsIgnoreCase(IDENTITY) ? Verdict.OWN : Verdict.INVALID;
     }
 
     private boolean statesNotRun(HttpResponse response) {
--- a/node/src/main/java/org/carawaysill/node/upstream/AnswerDecoder.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/AnswerDecoder.java
@@ -5,10 +5,10 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
 /**
- * Decodes answers, and tells whether bytes are left over.
+ * Decodes answers and reports whether undecoded bytes are left.
  *
- * <p>Bytes behind an answer that are no answer yet give no message: they would be taken for the beginning of the next
- * answer. Confined to the event loop.
+ * <p>Bytes after an answer that don't form another answer produce no message; they would be decoded as the beginning of
+ * the next answer. Not thread safe: confined to the event loop.
  */
 final class AnswerDecoder extends HttpResponseDecoder {
 
@@ -18,12 +18,12 @@
         super(limits);
     }
 
-    /** Says whether the next answer is to a request whose answers have no body, whatever they state. */
+    /** Sets whether the next answer is to a request whose answers never have a body, whatever their header states. */
     void bodyless(boolean nextAnswer) {
         bodyless = nextAnswer;
     }
 
-    boolean hasRest() {
+    boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
 
--- a/node/src/main/java/org/carawaysill/node/upstream/BrokenExchange.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/BrokenExchange.java
@@ -5,9 +5,9 @@
 /**
  * An exchange whose connection ended before its answer.
  *
- * <p>Confined to the event loop, as its exchange is.
+ * <p>Not thread safe, like its exchange: confined to the event loop.
  *
  * @param exchange the exchange
- * @param outcome what it comes to if the copy goes on
+ * @param outcome its outcome if the copy is still running
  */
 record BrokenExchange(CopyExchange exchange, Outcome outcome) {}
--- a/node/src/main/java/org/carawaysill/node/upstream/BrokenExchanges.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/BrokenExchanges.java
@@ -8,61 +8,67 @@
 import java.util.Set;
 
 /**
- * Exchanges whose connections ended, until it is known whether the copy has ended or only their connections.
+ * Holds the exchanges whose connections ended until it is known whether the copy has ended or only their connections.
  *
- * <p>Invariant: at most one question is open. Confined to the event loop.
+ * <p>Invariant: at most one probe is in progress. Not thread safe: confined to the event loop.
  */
 final class BrokenExchanges {
 
-    /** A copy whose connections end one by one is given up on after so many questions, and its requests are answered. */
-    private static final int MOST_QUESTIONS = 6;
+    /**
+     * If a copy's connections end one by one, the check stops after this number of probes and the requests are
+     * answered.
+     */
+    private static final int MAXIMUM_PROBES = 6;
 
     private final List<BrokenExchange> waiting = new ArrayList<>();
     private final Set<CopyConnection> others = new HashSet<>();
-    private int questions;
-    private int left;
+    private int probes;
+    private int remaining;
 
     /**
-     * Adds one; tells whether the copy is to be asked.
+     * Adds an exchange and returns whether the copy must be probed.
      *
      * @param broken the exchange
      * @param open the connections that have not ended
      */
     boolean add(BrokenExchange broken, Collection<CopyConnection> open) {
         waiting.add(broken);
-        if (questions > 0) {
+        if (probes > 0) {
             return false;
         }
-        questions = 1;
+        probes = 1;
         others.addAll(open);
         broken.exchange().connection().ifPresent(others::remove);
-        left = others.size();
+        remaining = others.size();
         return true;
     }
 
-    /** Returns whether there were other connections when the first one ended, and all of them have ended since. */
-    boolean areAllGone(Collection<CopyConnection> open) {
-        return !others.isEmpty() && !isAnyOpen(open);
+    /** Returns whether other connections were open when the first one ended, and all of them have ended since. */
+    boolean haveAllOthersEnded(Collection<CopyConnection> open) {
+        return !others.isEmpty() && !isAnyOtherOpen(open);
     }
 
-    /** Returns whether one of the other connections is still open: the copy's process has not ended. */
-    boolean isAnyOpen(Collection<CopyConnection> open) {
+    /** Returns whether one of the other connections is still open, so that the copy's process has not ended. */
+    boolean isAnyOtherOpen(Collection<CopyConnection> open) {
         return !Collections.disjoint(others, open);
     }
 
-    /** Returns whether to ask again: more of the connections have ended since the last question, or that of the question. */
-    boolean isOpenStill(Collection<CopyConnection> open, boolean answerEnded) {
-        int before = left;
-        left = (int) others.stream().filter(open::contains).count();
-        return (left < before || answerEnded) && questions++ < MOST_QUESTIONS;
+    /**
+     * Returns whether to probe again, because more connections, or the probe's own connection, ended since the last
+     * probe.
+     */
+    boolean needsAnotherProbe(Collection<CopyConnection> open, boolean probeEnded) {
+        int before = remaining;
+        remaining = (int) others.stream().filter(open::contains).count();
+        return (remaining < before || probeEnded) && probes++ < MAXIMUM_PROBES;
     }
 
-    /** Takes out all of them once the answer is there. */
+    /** Removes and returns all exchanges once the check is decided. */
     List<BrokenExchange> take() {
         List<BrokenExchange> taken = List.copyOf(waiting);
         waiting.clear();
         others.clear();
-        questions = 0;
+        probes = 0;
         return taken;
     }
 }
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
@@ -37,16 +37,16 @@
 import org.carawaysill.policy.fleet.FleetEffect;
 
 /**
- * One connection to the local copy; it carries one request at a time.
+ * A connection to the local copy, which carries one request at a time.
  *
- * <p>Invariants: an answer is complete only by its length, its last chunk, or, without either, by the orderly end of the
- * connection; an answer that names another request ends nothing; a connection on which anything went wrong, or on which
- * bytes came that nobody asked for, carries no further request. Confined to the event loop.
+ * <p>Invariants: an answer is complete only by its length, by its last chunk or, if it has neither, by the orderly end
+ * of the connection; an answer that names another request ends no exchange; a connection with a fault or with
+ * unsolicited bytes carries no further request. Not thread safe: confined to the event loop.
  */
 final class CopyConnection extends ChannelInboundHandlerAdapter {
 
-    /** Guards against an answer without end, which would fill the memory. */
-    private static final int LONGEST_BODY_BYTES = 16 * 1024 * 1024;
+    /** Guards against an endless answer, which would exhaust the memory. */
+    private static final int MAXIMUM_BODY_BYTES = 16 * 1024 * 1024;
 
     private static final Duration REFUSED_RETRY_AFTER = Duration.ofMillis(100);
 
@@ -60,9 +60,9 @@
     private Verdict verdict = Verdict.OWN;
     private ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Optional<ConnectionEnd> endReason = Optional.empty();
-    private boolean sound = true;
+    private boolean reusable = true;
     private boolean requestWritten = true;
-    private boolean returnable;
+    private boolean answerComplete;
     private long idleSinceNanos;
     private Duration idleLimit;
 
@@ -72,7 +72,7 @@
         this.idleLimit = idleLimit;
     }
 
-    /** Comes before the connection is told of as open; the event that it is active comes only after that. */
+    /** Called before the connect future completes, while channelActive is called only after that. */
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
         channel = Optional.of(context.channel());
@@ -84,24 +84,24 @@
     }
 
     boolean isUsable(long now) {
-        return sound && channel.filter(Channel::isActive).isPresent() && now - idleSinceNanos < idleLimit.toNanos();
+        return reusable && channel.filter(Channel::isActive).isPresent() && now - idleSinceNanos < idleLimit.toNanos();
     }
 
     /** Writes a request, unless its deadline has passed. */
     void send(CopyExchange next) {
         long remaining = next.request().deadlineNanos() - System.nanoTime();
         if (remaining <= 0) {
-            // Guards against a process that was paused and hands over late work when it wakes: the copy would run what
-            // its caller has given up. The deadline is looked at last, right before the write.
+            // A process that was paused may have late work when it resumes, and the copy would run requests that their
+            // callers have given up. Therefore the deadline is checked last, directly before the write.
             pool.release(this);
             pool.ended(next, notRun(RefusalReason.DEADLINE, Step.COPY_WRITE));
             return;
         }
-        next.on(this);
+        next.startOn(this);
         exchange = Optional.of(next);
         answer = Optional.empty();
         body = new ByteArrayOutputStream();
-        returnable = false;
+        answerComplete = false;
         requestWritten = false;
         decoder.bodyless(next.request().content().method().equals(HttpMethod.HEAD.name()));
         channel.orElseThrow()
@@ -123,15 +123,18 @@
         encoded.headers().set(pool.dialect().copy(), request.copy().value());
         encoded.headers()
                 .set(pool.dialect().callerService(), request.callerService().value());
-        tellOrganisation(encoded, request);
+        setOrganisation(encoded, request);
         if (content.body().length() > 0 || !isBodyless(content.method())) {
             encoded.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.body().length());
         }
         return encoded;
     }
 
-    /** Tells the copy whose key the request carried, whatever the request itself says of that, and never the key. */
-    private void tellOrganisation(FullHttpRequest encoded, FleetEffect.HandToCopy request) {
+    /**
+     * Sets the organisation of the request's key, replaces any value in the request itself, and never passes on the
+     * key.
+     */
+    private void setOrganisation(FullHttpRequest encoded, FleetEffect.HandToCopy request) {
         encoded.headers().remove(pool.dialect().organisation());
         request.organisation().ifPresent(organisation -> {
             encoded.headers().remove(HttpHeaderNames.AUTHORIZATION);
@@ -143,14 +146,17 @@
         return method.equals(HttpMethod.GET.name()) || method.equals(HttpMethod.HEAD.name());
     }
 
-    /** A request that is answered before it is written whole keeps the connection until its rest is written. */
+    /**
+     * Completes a write. If a request is answered before it is completely written, its connection is reused only after
+     * the rest is written.
+     */
     private void written(CopyExchange of, boolean success) {
         requestWritten = true;
         if (!success) {
             close(ConnectionEnd.WRITE_FAILED);
             exchange.filter(of::equals).ifPresent(_ -> lost());
         } else {
-            returnIfDone();
+            releaseIfDone();
         }
     }
 
@@ -158,8 +164,8 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
             if (exchange.isEmpty()) {
-                // Bytes behind a complete answer, or an answer that nobody asked for: they belong to no request, and
-                // the next request would be taken for theirs.
+                // Bytes after a complete answer, or an unsolicited answer, belong to no request; they would be matched
+                // to the next one.
                 closeBroken();
             } else {
                 receive(message);
@@ -172,7 +178,7 @@
     private void receive(Object message) {
         if (message instanceof HttpResponse response) {
             if (response.decoderResult().isFailure()) {
-                spoilt();
+                endInvalid();
                 return;
             }
             begin(response);
@@ -189,20 +195,21 @@
         answer = Optional.of(response);
         body = new ByteArrayOutputStream();
         CopyExchange current = exchange.orElseThrow();
-        verdict = pool.check().judge(response, current.request().requestName());
-        if (verdict == Verdict.SPOILT) {
-            spoilt();
+        verdict = pool.check().classify(response, current.request().requestName());
+        if (verdict == Verdict.INVALID) {
+            endInvalid();
         } else if (verdict == Verdict.FOREIGN) {
-            // The answer to this request follows behind it; no other request may come after that.
+            // The answer to this request follows on the same connection; after that, the connection carries no other
+            // request.
             pool.count(ConnectionFault.COPY_BROKEN);
-            sound = false;
+            reusable = false;
         }
-        noteKeepAlive(response);
+        readKeepAlive(response);
     }
 
-    private void noteKeepAlive(HttpResponse response) {
+    private void readKeepAlive(HttpResponse response) {
         if (!HttpUtil.isKeepAlive(response)) {
-            sound = false;
+            reusable = false;
         }
         String stated = response.headers().get("Keep-Alive");
         if (stated != null && stated.startsWith(KEEP_ALIVE_TIMEOUT)) {
@@ -217,8 +224,8 @@
     }
 
     private void receiveBody(HttpContent content) {
-        if (content.decoderResult().isFailure() || body.size() > LONGEST_BODY_BYTES) {
-            spoilt();
+        if (content.decoderResult().isFailure() || body.size() > MAXIMUM_BODY_BYTES) {
+            endInvalid();
             return;
         }
         byte[] bytes = ByteBufUtil.getBytes(content.content());
@@ -236,7 +243,7 @@
         }
         CopyExchange done = exchange.orElseThrow();
         exchange = Optional.empty();
-        returnable = true;
+        answerComplete = true;
         Outcome outcome = verdict == Verdict.NOT_RUN
                 ? notRun(RefusalReason.COPY_REFUSED, Step.COPY_WAIT)
                 : new Outcome.Answered(content(response, done));
@@ -245,7 +252,7 @@
 
     private AnswerContent content(HttpResponse response, CopyExchange done) {
         boolean head = done.request().content().method().equals(HttpMethod.HEAD.name());
-        // The entry writes the request's name into the answer; between the nodes it would only be ballast.
+        // The entry server adds the request's name to the answer, so sending it between nodes is unnecessary.
         response.headers().remove(pool.dialect().requestName());
         return new AnswerContent(
                 response.status().code(),
@@ -253,19 +260,19 @@
                 Body.wrap(body.toByteArray()));
     }
 
-    /** Gives the connection back only now: whatever came right behind the answer has been seen by then. */
+    /** Returns the connection to the pool only now, when all bytes that arrived with the answer have been decoded. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (exchange.isEmpty() && decoder.hasRest() && sound) {
+        if (exchange.isEmpty() && decoder.hasUndecodedBytes() && reusable) {
             closeBroken();
         }
-        returnIfDone();
+        releaseIfDone();
     }
 
-    private void returnIfDone() {
-        if (returnable && requestWritten) {
-            returnable = false;
-            if (sound) {
+    private void releaseIfDone() {
+        if (answerComplete && requestWritten) {
+            answerComplete = false;
+            if (reusable) {
                 idleSinceNanos = System.nanoTime();
                 pool.release(this);
             } else {
@@ -276,7 +283,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        sound = false;
+        reusable = false;
         pool.closed(this);
         if (exchange.isPresent()) {
             lost();
@@ -284,8 +291,8 @@
     }
 
     /**
-     * Ends the request before the end of the connection is seen. Guards against an answer without length whose connection
-     * is reset on the way: the decoder takes any end of the connection for the end of such an answer.
+     * Ends the request before the end of the connection is processed. Guards against a reset in the middle of an answer
+     * without length: the decoder treats any end of the connection as the end of such an answer.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
@@ -295,13 +302,13 @@
         }
     }
 
-    /** Gives up an exchange for what the copy sent: it lives. */
-    private void spoilt() {
+    /** Ends an exchange because of an invalid answer; the copy is running. */
+    private void endInvalid() {
         closeBroken();
         takeLost().ifPresent(broken -> pool.ended(broken.exchange(), broken.outcome()));
     }
 
-    /** Gives up an exchange since its connection ended: perhaps the copy has. */
+    /** Ends an exchange because its connection ended; the copy may have ended as well. */
     private void lost() {
         takeLost().ifPresent(pool::broken);
     }
@@ -319,11 +326,11 @@
         return lost;
     }
 
-    /** Breaks off the request under way: the copy sees its connection end. */
+    /** Cancels the running request by closing its connection to the copy. */
     void cancel() {
-        noteEnd(ConnectionEnd.CANCELLED);
+        recordEnd(ConnectionEnd.CANCELLED);
         logEnd();
-        // Closing may fail a write that waits, which must not be taken for the end of a request.
+        // Closing may fail a pending write, which must not be treated as the end of a request.
         exchange = Optional.empty();
         close();
     }
@@ -338,17 +345,17 @@
     }
 
     void close(ConnectionEnd reason) {
-        noteEnd(reason);
+        recordEnd(reason);
         close();
     }
 
     private void close() {
-        sound = false;
+        reusable = false;
         channel.ifPresent(Channel::close);
     }
 
-    /** Notes why the connection ends; the first reason is the one that holds. */
-    private void noteEnd(ConnectionEnd reason) {
+    /** Records why the connection ends; the first reason is kept. */
+    private void recordEnd(ConnectionEnd reason) {
         endReason = endReason.or(() -> Optional.of(reason));
     }
 
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
@@ -40,11 +40,11 @@
 import org.carawaysill.policy.fleet.FleetEvent;
 
 /**
- * The HTTP connections to the local copy.
+ * The pool of HTTP connections to the local copy.
  *
- * <p>Invariants: each request handed over ends once, unless it is cancelled; "not run" is said only where no byte was
- * written or the copy itself said so. The methods of {@link Service} are thread safe, all else is confined to the event
- * loop.
+ * <p>Invariants: each request ends once, unless it is cancelled; a request ends as "not run" only if no byte of it was
+ * written or the copy itself stated so. The methods of {@link Service} are thread safe; everything else is confined to
+ * the event loop.
  */
 public final class CopyConnections implements Service {
 
@@ -52,29 +52,29 @@
     public static final String NAME = "copy-connections";
 
     private static final int CONNECT_LIMIT_MILLIS = 500;
-    private static final int LONGEST_LINE_BYTES = 8192;
-    private static final int LARGEST_HEAD_BYTES = 64 * 1024;
+    private static final int MAXIMUM_LINE_BYTES = 8192;
+    private static final int MAXIMUM_HEAD_BYTES = 64 * 1024;
     private static final int CHUNK_BYTES = 64 * 1024;
 
     /**
-     * How long the answers of broken exchanges wait for the copy to take a connection. A process that has ended refuses at
-     * once; one that takes longer is not known to have ended.
+     * How long broken exchanges wait for a probe to connect to the copy. The address of an ended process refuses
+     * connections at once; if the connect takes longer, the process may still be running.
      */
-    private static final int CHECK_LIMIT_MILLIS = 100;
+    private static final int PROBE_LIMIT_MILLIS = 100;
 
-    /** The time in which the connections of a process that ends are closed one after the other. */
+    /** The time in which all connections of an ending process are closed, one after the other. */
     private static final int SETTLING_MILLIS = 10;
 
     private static final Duration SWEEP_INTERVAL = Duration.ofSeconds(1);
 
     /**
-     * How much sooner than the copy this side ends an idle connection. Guards against a request that crosses the copy's
-     * close of the connection, which shows as a reset of which nobody knows whether the request ran.
+     * How much earlier than the copy this side closes an idle connection. Guards against a request that is sent while
+     * the copy closes the connection, which is seen as a reset and leaves it unknown whether the request ran.
      */
     private static final Duration IDLE_MARGIN = Duration.ofMillis(1500);
 
-    /** How long a connection may be idle where the copy does not say: a common timeout of HTTP servers is 5 s. */
-    private static final Duration USUAL_IDLE_LIMIT = Duration.ofMillis(3500);
+    /** The idle limit if the copy states none; a common timeout of HTTP servers is 5 s. */
+    private static final Duration DEFAULT_IDLE_LIMIT = Duration.ofMillis(3500);
 
     private static final Duration UNREACHABLE_RETRY_AFTER = Duration.ofMillis(500);
 
@@ -91,13 +91,13 @@
     private final BrokenExchanges broken = new BrokenExchanges();
 
     /**
-     * Makes a pool without connections.
+     * Creates a pool without connections.
      *
-     * @param eventLoop the thread that it works on
-     * @param copy where the copy listens
+     * @param eventLoop the thread that runs the pool
+     * @param copy the address of the copy
      * @param dialect the names of header fields
-     * @param events who hears of answers
-     * @param registry where the counters are found
+     * @param events receives the events of answers
+     * @param registry provides the counters and the decision log
      */
     public CopyConnections(
             EventLoop eventLoop,
@@ -141,13 +141,13 @@
     }
 
     /**
-     * Hands a request to the copy.
+     * Sends a request to the copy.
      *
      * @param request the request
      */
     public void hand(FleetEffect.HandToCopy request) {
         CopyExchange exchange = new CopyExchange(request);
-        // Guards against two exchanges under one identifier, after which each could get the other's answer.
+        // With two exchanges under one identifier, each could get the other's answer.
         if (running.putIfAbsent(request.attempt(), exchange) != null) {
             counters.count(Invariant.AT_MOST_ONCE);
             return;
@@ -173,12 +173,12 @@
     }
 
     private void connect(CopyExchange exchange) {
-        CopyConnection connection = new CopyConnection(this, decoder(), USUAL_IDLE_LIMIT);
-        dial(connection, CONNECT_LIMIT_MILLIS)
+        CopyConnection connection = new CopyConnection(this, decoder(), DEFAULT_IDLE_LIMIT);
+        openConnection(connection, CONNECT_LIMIT_MILLIS)
                 .addListener((ChannelFuture connected) -> connected(exchange, connection, connected));
     }
 
-    private ChannelFuture dial(CopyConnection connection, int limitMillis) {
+    private ChannelFuture openConnection(CopyConnection connection, int limitMillis) {
         return bootstrap
                 .clone()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limitMillis)
@@ -196,8 +196,8 @@
 
     private static AnswerDecoder decoder() {
         return new AnswerDecoder(new HttpDecoderConfig()
-                .setMaxInitialLineLength(LONGEST_LINE_BYTES)
-                .setMaxHeaderSize(LARGEST_HEAD_BYTES)
+                .setMaxInitialLineLength(MAXIMUM_LINE_BYTES)
+                .setMaxHeaderSize(MAXIMUM_HEAD_BYTES)
                 .setMaxChunkSize(CHUNK_BYTES));
     }
 
@@ -221,7 +221,7 @@
     }
 
     /**
-     * Breaks off a request at the copy, of which nothing more is told.
+     * Cancels a request at the copy; no event follows for it.
      *
      * @param attempt its attempt
      */
@@ -245,30 +245,32 @@
     }
 
     /**
-     * Takes an exchange whose connection ended, and finds out whether the copy has ended too.
+     * Handles an exchange whose connection ended, and checks whether the copy has ended as well.
      *
-     * <p>Without this, a request that ends its copy looks like one whose connection was reset, and is handed to the next copy.
-     * The copy has ended where all its connections end at one moment. Its listening socket may outlive them for some
-     * milliseconds, or for good where another process holds it; and one that leaves closes that socket long before. Only where
-     * no other connection was open, nobody listening means that it has ended.
+     * <p>Without this check, a request that crashes its copy looks like one whose connection was reset, and is sent to
+     * the next copy. The copy has ended if all its connections end at the same time. Its listening socket may stay open
+     * for some milliseconds longer, or permanently if another process holds it; and a leaving copy closes that socket
+     * long before it ends. A refused connection therefore means that the copy has ended only if no other connection was
+     * open.
      */
     void broken(BrokenExchange exchange) {
         if (broken.add(exchange, all)) {
-            ask();
+            probe();
         }
     }
 
-    private void ask() {
-        CopyConnection connection = new CopyConnection(this, decoder(), USUAL_IDLE_LIMIT);
-        dial(connection, CHECK_LIMIT_MILLIS).addListener((ChannelFuture connected) -> checked(connection, connected));
+    private void probe() {
+        CopyConnection connection = new CopyConnection(this, decoder(), DEFAULT_IDLE_LIMIT);
+        openConnection(connection, PROBE_LIMIT_MILLIS)
+                .addListener((ChannelFuture connected) -> probed(connection, connected));
     }
 
-    private void checked(CopyConnection connection, ChannelFuture connected) {
+    private void probed(CopyConnection connection, ChannelFuture connected) {
         if (connected.isSuccess()) {
             all.add(connection);
             afterSettling(() -> settled(connection));
         } else if (isRefused(connected)) {
-            afterSettling(this::settledRefused);
+            afterSettling(this::settledAfterRefusal);
         } else {
             endBroken();
         }
@@ -278,17 +280,17 @@
         eventLoop.schedule(conclusion, SETTLING_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** A copy that leaves closes its listening socket first, and works on at the connections that it has. */
-    private void settledRefused() {
-        if (!broken.isAnyOpen(all)) {
+    /** A leaving copy closes its listening socket first, and continues to serve its open connections. */
+    private void settledAfterRefusal() {
+        if (!broken.isAnyOtherOpen(all)) {
             crashed();
         } else {
-            askAgainOrEnd(false);
+            probeAgainOrEnd(false);
         }
     }
 
     private void settled(CopyConnection connection) {
-        if (broken.areAllGone(all)) {
+        if (broken.haveAllOthersEnded(all)) {
             connection.close(ConnectionEnd.IDLE);
             crashed();
             return;
@@ -297,12 +299,12 @@
         if (usable) {
             release(connection);
         }
-        askAgainOrEnd(!usable);
+        probeAgainOrEnd(!usable);
     }
 
-    private void askAgainOrEnd(boolean answerEnded) {
-        if (broken.isOpenStill(all, answerEnded)) {
-            ask();
+    private void probeAgainOrEnd(boolean probeEnded) {
+        if (broken.needsAnotherProbe(all, probeEnded)) {
+            probe();
         } else {
             endBroken();
         }
@@ -316,7 +318,10 @@
         return connected.cause() instanceof ConnectException && !(connected.cause() instanceof ConnectTimeoutException);
     }
 
-    /** Ends what was written to the copy on connections that ended; what another process has taken since then goes on. */
+    /**
+     * Ends the requests that were written to the copy on connections that ended. Requests that a successor process has
+     * accepted since then continue.
+     */
     private void crashed() {
         broken.take();
         List<AttemptIdentifier> lost = new ArrayList<>();
@@ -351,7 +356,7 @@
                 .forEach(connection -> connection.close(ConnectionEnd.IDLE));
     }
 
-    /** Returns how long a connection may be idle on this side where the copy closes it after a stated time. */
+    /** Returns how long this side keeps an idle connection if the copy closes it after the stated time. */
     Duration idleLimit(Duration stated) {
         Duration limit = stated.minus(IDLE_MARGIN);
         return limit.isNegative() ? Duration.ZERO : limit;
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyExchange.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyExchange.java
@@ -5,9 +5,9 @@
 import org.carawaysill.policy.fleet.FleetEffect;
 
 /**
- * One request at the local copy.
+ * A request at the local copy.
  *
- * <p>Invariant: ends once. Confined to the event loop.
+ * <p>Invariant: ends once. Not thread safe: confined to the event loop.
  */
 final class CopyExchange {
 
@@ -24,12 +24,12 @@
         return request;
     }
 
-    void on(CopyConnection carrier) {
+    void startOn(CopyConnection carrier) {
         connection = Optional.of(carrier);
         writtenNanos = System.nanoTime();
     }
 
-    /** Returns how long ago it was written to its connection. */
+    /** Returns the time since the request was written to its connection. */
     Duration age() {
         return Duration.ofNanos(System.nanoTime() - writtenNanos);
     }
@@ -42,7 +42,7 @@
         return ended;
     }
 
-    /** Notes the end; tells whether this was the first. */
+    /** Ends the exchange, and returns whether this is its first end. */
     boolean end() {
         boolean first = !ended;
         ended = true;
--- a/node/src/main/java/org/carawaysill/node/upstream/package-info.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/package-info.java
@@ -1,4 +1,4 @@
-/** The HTTP connections of a fleet's node to the copy beside it. */
+/** The HTTP connections of a fleet node to its local copy. */
 @NullMarked
 package org.carawaysill.node.upstream;
 
--- a/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
+++ b/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
@@ -99,9 +99,9 @@
     @Nested
     class Requests {
 
-        /** Guards against a copy that is shown a key, or an organisation that the client made up. */
+        /** Guards against passing to a copy a key, or an organisation that the client made up. */
         @Test
-        void nameTheOrganisationAndNeverAKey() {
+        void containTheOrganisationAndNeverAKey() {
             hand("a");
             String request = copy.accept().readMessage();
             assertTrue(request.contains("Organisation: agents\r\n"), request);
@@ -110,7 +110,7 @@
         }
 
         @Test
-        void nameTheCopyTheCallerAndTheTimeLeft() {
+        void containTheCopyTheCallerAndTheRemainingTime() {
             AttemptIdentifier attempt = hand("a");
             RawConnection connection = copy.accept();
             String request = connection.readMessage();
@@ -125,7 +125,7 @@
         }
 
         @Test
-        void shareAConnectionOneAfterTheOther() {
+        void reuseAConnection() {
             AttemptIdentifier first = hand("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
@@ -138,8 +138,8 @@
         }
 
         /*
-         * A process is paused between the decision and the write, and wakes up after its client has left. What it writes
-         * then would run for nobody.
+         * A process is paused between the decision and the write, and resumes after its client has left. A request
+         * written then would run for nobody.
          */
         @Test
         void areNotWrittenAfterTheirDeadline() {
@@ -155,7 +155,7 @@
         private AttemptIdentifier secondOfTwo;
         private RawConnection secondConnection;
 
-        /** Lets the copy work on two requests, each on a connection of its own. */
+        /** Sends two requests to the copy, each on its own connection. */
         private void handTwo() {
             firstOfTwo = hand("a");
             firstConnection = copy.accept();
@@ -166,11 +166,12 @@
         }
 
         /*
-         * A copy's process ends under two requests. Each used to be told as an answer that was lost, as after a reset, and
-         * was handed to the next copy; of two that ended the copy, nobody could say that they had been there together.
+         * A copy's process ends while it runs two requests. Each of them used to be reported as a lost answer, as after
+         * a reset, and was sent to the next copy; of two requests that crashed the copy, it was unknown that they had
+         * been in flight together.
          */
         @Test
-        void areToldWithAllThatWasAtTheCopy() {
+        void areReportedWithAllRequestsInFlight() {
             handTwo();
             copy.close();
             firstConnection.close();
@@ -181,11 +182,12 @@
         }
 
         /*
-         * A copy's process ends while its listening socket is still open, as it is for some milliseconds, or for good where a
-         * supervisor holds it. A dialled connection is taken, and the crash would pass for a reset of each connection.
+         * A copy's process ends while its listening socket is still open, which lasts for some milliseconds, or
+         * permanently if a supervisor holds it. A new connection is accepted, and the crash would look like a reset of
+         * each connection.
          */
         @Test
-        void areSeenAlsoWhileTheAddressStillTakesConnections() {
+        void areDetectedWhileTheAddressStillAcceptsConnections() {
             handTwo();
             firstConnection.close();
             secondConnection.close();
@@ -193,9 +195,9 @@
             assertEquals(Set.of(firstOfTwo, secondOfTwo), Set.copyOf(crashed.attempts()));
         }
 
-        /** Another process listens at once: what it has taken goes on. */
+        /** Another process listens at once; the requests that it has accepted continue. */
         @Test
-        void doNotEndWhatTheNextProcessHasTaken() {
+        void doNotEndRequestsOfTheNextProcess() {
             handTwo();
             firstConnection.close();
             secondConnection.close();
@@ -209,9 +211,9 @@
             expectGood(third, "three");
         }
 
-        /** One of two connections ends: the copy works on at the other. */
+        /** One of two connections ends, and the copy continues on the other one. */
         @Test
-        void areNotTakenForOneOfSeveralConnections() {
+        void areNotReportedWhenOneOfSeveralConnectionsEnds() {
             handTwo();
             firstConnection.close();
             expectUnknown(firstOfTwo);
@@ -219,9 +221,11 @@
             expectGood(secondOfTwo, "two");
         }
 
-        /** Guards against work that is cut at a leaving copy, which listens no more, since one other connection ends. */
+        /**
+         * A leaving copy has stopped listening and one of its connections ends; its other requests must not be ended.
+         */
         @Test
-        void areNotTakenForTheEndOfListening() {
+        void areNotReportedWhenTheCopyStopsListening() {
             handTwo();
             copy.close();
             firstConnection.close();
@@ -230,9 +234,9 @@
             expectGood(secondOfTwo, "two");
         }
 
-        /** Guards against a request that is blamed for a crash when a leaving copy resets one connection of several. */
+        /** Guards against blaming a request for a crash when a leaving copy resets one of several connections. */
         @Test
-        void areNotConcludedWhileAnIdleConnectionIsOpen() {
+        void areNotReportedWhileAnIdleConnectionIsOpen() {
             handTwo();
             secondConnection.write(answer("b", "two"));
             expectGood(secondOfTwo, "two");
@@ -241,9 +245,9 @@
             expectUnknown(firstOfTwo);
         }
 
-        /** A copy that still takes connections has not ended; the connection that showed it carries the next request. */
+        /** A copy that still accepts connections has not ended; the probe's connection carries the next request. */
         @Test
-        void areNotTakenForAConnectionThatEnds() {
+        void areNotReportedWhenTheCopyAcceptsANewConnection() {
             AttemptIdentifier first = hand("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
@@ -257,7 +261,7 @@
         }
 
         @Test
-        void tellNothingOfWhatWasCancelledMeanwhile() {
+        void leaveOutCancelledRequests() {
             AttemptIdentifier first = hand("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
@@ -272,11 +276,11 @@
     class FaultyCopies {
 
         /*
-         * A copy sends a second answer to a request, late: it arrives where the answer to the next request is due. Teller
-         * B would read teller A's balance.
+         * A copy sends a second, late answer to a request while the answer to the next request is due. Teller B would
+         * read teller A's balance.
          */
         @Test
-        void sendTheAnswerToAnEarlierRequestAgain() {
+        void repeatTheAnswerToAnEarlierRequest() {
             AttemptIdentifier first = hand("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
@@ -291,7 +295,7 @@
             copy.accept().readMessage();
         }
 
-        /** Bytes behind a complete answer belong to no request, so the connection takes no further one. */
+        /** Bytes after a complete answer belong to no request, so the connection carries no further one. */
         @ParameterizedTest
         @ValueSource(strings = {"garbage", "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nContent-Length: 0\r\n\r\n"})
         void sendMoreThanTheAnswer(String more) {
@@ -316,7 +320,7 @@
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\none",
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
                 })
-        void sendWhatIsNoAnswer(String bytes) {
+        void sendInvalidAnswers(String bytes) {
             AttemptIdentifier attempt = hand("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
@@ -331,7 +335,7 @@
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nContent-Length: 30\r\n\r\none",
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n"
                 })
-        void endBeforeTheAnswerDoes(String bytes) {
+        void closeBeforeTheAnswerIsComplete(String bytes) {
             AttemptIdentifier attempt = hand("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
@@ -341,7 +345,7 @@
         }
 
         @Test
-        void endAnAnswerWithoutLengthWithTheirConnection() {
+        void endAnAnswerWithoutLengthByClosing() {
             AttemptIdentifier attempt = hand("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
@@ -351,7 +355,7 @@
         }
 
         /*
-         * A copy's connection is reset in the middle of an answer without length. The client would take the half of a
+         * A copy's connection is reset in the middle of an answer without length. The client would take half of a
          * statement for the whole.
          */
         @Test
@@ -389,7 +393,7 @@
     class Cancelling {
 
         @Test
-        void endsTheConnectionAndTellsNothing() {
+        void closesTheConnectionWithoutAnEvent() {
             AttemptIdentifier attempt = hand("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
