--- a/node/src/main/java/org/carawaysill/node/lifecycle/EventLoopFactory.java
+++ b/node/src/main/java/org/carawaysill/node/lifecycle/EventLoopFactory.java
@@ -8,23 +8,21 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Makes a Vert.x instance that fits a small process: one event loop, no files, small buffers. Thread safe. */
+/** Creates a Vert.x instance for a small process: one event loop, no file access, small buffers. Thread safe. */
 public final class EventLoopFactory {
 
-    /**
-     * Limits of the libraries for which there is no other way than system properties. What the command line sets goes
-     * before these.
-     */
+    /** Library limits that can only be set as system properties. Values from the command line take precedence. */
     private static final Map<String, String> LIBRARY_LIMITS = Map.of(
-            // In place of the adaptive one: 15% less processor time of the event loops for each request (16.6 and
-            // 14.2 s for 20,000 requests through two nodes on loopback, mean of two runs each).
+            // Replaces the adaptive allocator: 15% less processor time of the event loops per request (14.2 instead of
+            // 16.6 s for 20,000 requests through two nodes on loopback, mean of two runs each).
             "io.netty.allocator.type", "pooled",
             "io.netty.allocator.numDirectArenas", "1",
             "io.netty.allocator.numHeapArenas", "1",
             "io.netty.allocator.maxOrder", "3",
-            // Else Netty looks through all network interfaces for an address to name its channels by.
+            // Otherwise Netty searches all network interfaces for an address to derive its channel identifiers from.
             "io.netty.machineId", "00:00:00:00:00:00:00:01",
-            // Else Vert.x looks for logging libraries that are not shipped, and reads a class from a file for each.
+            // Otherwise Vert.x searches for logging libraries that are not shipped, and reads a class file for each of
+            // them.
             "vertx.logger-delegate-factory-class-name", "io.vertx.core.logging.JULLogDelegateFactory",
             "vertx.disableDnsResolver", "true",
             "vertx.disableMetrics", "true",
@@ -34,19 +32,20 @@
 
     private EventLoopFactory() {}
 
-    /** Sets the limits, as {@link #create} does; for a process that uses Netty without Vert.x. */
+    /** Sets the library limits as {@link #create} does, for a process that uses Netty without Vert.x. */
     public static void limitLibraries() {
         LIBRARY_LIMITS.forEach((name, value) -> {
             if (System.getProperty(name) == null) {
                 System.setProperty(name, value);
             }
         });
-        // Else Netty looks for such libraries too.
+        // Otherwise Netty searches for these logging libraries as well.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
     /**
-     * Makes an instance. Must come before any other use of Vert.x or Netty, since they read the limits once.
+     * Creates an instance. Must be called before any other use of Vert.x or Netty, since they read the limits only
+     * once.
      *
      * @return the instance, with one event loop
      */
--- a/node/src/main/java/org/carawaysill/node/lifecycle/NodeProcess.java
+++ b/node/src/main/java/org/carawaysill/node/lifecycle/NodeProcess.java
@@ -33,11 +33,12 @@
 /**
  * All services of one node.
  *
- * <p>Invariant: the servers listen last and stop first, so that no request meets a node without its policy. Thread safe.
+ * <p>Invariant: the servers start last and stop first, so that no request reaches a node without its policy. Thread
+ * safe.
  */
 public final class NodeProcess {
 
-    /** The part of the heap that the bodies of open exchanges may take. */
+    /** The divisor for the part of the heap that bodies of open exchanges may use: a quarter. */
     private static final int HEAP_PARTS_FOR_BODIES = 4;
 
     private final NodeSettings settings;
@@ -62,14 +63,14 @@
         this.random = builder.random;
         this.connections = builder.connections;
         this.start = clock.now();
-        registerFoundations();
+        registerSharedServices();
         this.plannedStop = registry.register(new PlannedStop(registry));
         registerAdapters();
         registry.register(new PolicyDuty(builder.factory.create(settings, start, random), clock, registry));
         registerServers();
     }
 
-    private void registerFoundations() {
+    private void registerSharedServices() {
         registry.register(new Counters(new PrometheusRegistry()));
         registry.register(new StatusBoard());
         registry.register(new PolicyInbox(vertx));
@@ -102,10 +103,10 @@
     }
 
     /**
-     * Starts to build a node.
+     * Returns a builder for a node.
      *
      * @param settings the node's settings
-     * @param factory what makes its policy
+     * @param factory creates the node's policy
      * @return a builder
      */
     public static Builder builder(NodeSettings settings, NodePolicyFactory factory) {
@@ -115,22 +116,22 @@
     /**
      * Starts all services.
      *
-     * @return completes when the node serves; fails with why it can't
+     * @return completes when the node serves; fails with the reason if it can't
      */
     public CompletableFuture<Void> start() {
         return registry.start().thenRun(() -> StateLog.change(Step.INGRESS, Optional.empty(), "serving"));
     }
 
-    /** Orders a planned stop: the node drains, and {@link #mayEnd} completes after that. */
+    /** Begins a planned stop: the node drains, and then {@link #mayEnd} completes. */
     public void orderStop() {
         plannedStop.orderStop();
     }
 
     /**
-     * Waits for the end of a planned stop.
+     * Returns the completion of a planned stop.
      *
-     * @return completes when a stop is ordered and every request is finished; fails where the policy's thread ended by an
-     *     error, since no request is ever finished then
+     * @return completes when a stop is ordered and every request is finished; fails if the policy's thread ended by an
+     *     error, since no request finishes after that
      */
     public CompletableFuture<Void> mayEnd() {
         CompletableFuture<Void> end = plannedStop.mayEnd();
@@ -143,9 +144,9 @@
     }
 
     /**
-     * Stops all services, once what they have begun to write is written.
+     * Stops all services after their pending writes are completed.
      *
-     * @return completes when all have stopped
+     * @return completes when all services have stopped
      */
     public CompletableFuture<Void> stop() {
         return registry.stop()
@@ -154,7 +155,7 @@
     }
 
     /**
-     * Gives the services, to find one by name.
+     * Returns the service registry, for lookups by name.
      *
      * @return the registry
      */
@@ -162,7 +163,7 @@
         return registry;
     }
 
-    /** Collects what a node is made of. Not thread safe. */
+    /** Collects the parts of a node. Not thread safe. */
     public static final class Builder {
 
         private final NodeSettings settings;
@@ -181,7 +182,7 @@
         }
 
         /**
-         * Sets the clocks; else they are those of the process.
+         * Sets the clocks. The default is the clocks of the process.
          *
          * @param source the clocks
          * @return this builder
@@ -192,7 +193,7 @@
         }
 
         /**
-         * Sets the source of identifiers and of the policy's randomness; else it is a secure one.
+         * Sets the source of identifiers and of the policy's randomness. The default is a secure one.
          *
          * @param generator the generator, thread safe
          * @return this builder
@@ -203,7 +204,7 @@
         }
 
         /**
-         * Sets the limits of HTTP connections; else they are {@link ConnectionLimits#DEFAULTS}.
+         * Sets the limits of HTTP connections. The default is {@link ConnectionLimits#DEFAULTS}.
          *
          * @param limits the limits
          * @return this builder
@@ -214,7 +215,7 @@
         }
 
         /**
-         * Builds the node, which does not serve yet.
+         * Builds the node, which doesn't serve yet.
          *
          * @return the node
          */
--- a/node/src/main/java/org/carawaysill/node/lifecycle/PlannedStop.java
+++ b/node/src/main/java/org/carawaysill/node/lifecycle/PlannedStop.java
@@ -8,9 +8,9 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * The way from the order to drain until the process may end.
+ * The sequence from the order to drain until the process may exit.
  *
- * <p>Invariant: the policy gets the order once, however often it is given. Thread safe.
+ * <p>Invariant: the policy receives the order once, however often it is given. Thread safe.
  */
 public final class PlannedStop implements Service {
 
@@ -26,9 +26,9 @@
     private final CompletableFuture<Void> stopOrdered = new CompletableFuture<>();
 
     /**
-     * Makes a stop that nobody ordered yet.
+     * Creates a stop that is not ordered yet.
      *
-     * @param registry where the inbox is found
+     * @param registry provides the policy's inbox
      */
     public PlannedStop(ServiceRegistry registry) {
         this.inbox = registry.require(PolicyInbox.NAME, PolicyInbox.class);
@@ -39,35 +39,35 @@
         return NAME;
     }
 
-    /** Orders that the node takes no new work and finishes what it has; the process goes on. */
+    /** Orders the node to accept no new requests and to finish those in flight; the process keeps running. */
     public void orderDrain() {
         if (ordered.compareAndSet(false, true)) {
             inbox.deliver(new Event.DrainOrdered());
         }
     }
 
-    /** Orders that the node drains and the process ends after that. */
+    /** Orders the node to drain and the process to exit afterwards. */
     public void orderStop() {
         orderDrain();
         stopOrdered.complete(null);
     }
 
-    /** Notes that the policy has finished every request. */
+    /** Records that the policy has finished every request. */
     public void drained() {
         drained.complete(null);
     }
 
     /**
-     * Tells whether every request is finished.
+     * Returns whether every request is finished.
      *
-     * @return whether the policy said so
+     * @return whether the policy has reported the end of the drain
      */
     public boolean isDrained() {
         return drained.isDone();
     }
 
     /**
-     * Waits for the end of a drain that ends the process.
+     * Returns the completion of a drain that ends the process.
      *
      * @return completes when a stop is ordered and every request is finished
      */
--- a/node/src/main/java/org/carawaysill/node/lifecycle/SignalStop.java
+++ b/node/src/main/java/org/carawaysill/node/lifecycle/SignalStop.java
@@ -9,19 +9,19 @@
 import org.carawaysill.node.observation.StateLog;
 
 /**
- * Makes the end of the process, by the signal to terminate or by order, a planned stop.
+ * Turns the termination of the process, by signal or by order, into a planned stop.
  *
- * <p>Invariant: the process ends by itself only when every request in flight is finished, or when the limit has passed.
- * Thread safe.
+ * <p>Invariant: the process exits by itself only when every request in flight is finished, or when the time limit has
+ * passed. Thread safe.
  */
 public final class SignalStop {
 
-    /** Longer than any request's deadline may be, so that only a fault of the node itself runs into it. */
+    /** Longer than the longest possible deadline of a request, so that only a fault of the node itself reaches it. */
     private static final Duration LIMIT = Duration.ofMinutes(2);
 
     private static final int STOPPED = 0;
 
-    private static final int TOOK_TOO_LONG = 1;
+    private static final int FAILED = 1;
 
     private final NodeProcess process;
 
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Installs the planned stop at the end of the process.
+     * Installs the planned stop as a shutdown hook.
      *
      * @param process the node, already started
      */
@@ -44,7 +44,7 @@
         process.orderStop();
         int status = await();
         StateLog.flush();
-        // The virtual machine would report the signal as its status, although the stop went as planned.
+        // Otherwise the JVM would report the signal as its exit status, although the planned stop succeeded.
         Runtime.getRuntime().halt(status);
     }
 
@@ -61,6 +61,6 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        return TOOK_TOO_LONG;
+        return FAILED;
     }
 }
--- a/node/src/test/java/org/carawaysill/node/lifecycle/NodeProcessTest.java
+++ b/node/src/test/java/org/carawaysill/node/lifecycle/NodeProcessTest.java
@@ -76,11 +76,12 @@
     class PlannedStops {
 
         /*
-         * A bill that was being issued when its VM was replaced fails at the quay gate: the node ended while the request
-         * was in flight. An ordered stop lets it finish, refuses new ones, and ends only after that.
+         * A bill that was being issued when its VM was replaced failed at the quay gate, because the node ended while
+         * the request was in flight. An ordered stop lets the request finish, refuses new ones, and ends only after
+         * that.
          */
         @Test
-        void finishWhatIsInFlight() throws Exception {
+        void finishRequestsInFlight() throws Exception {
             node.start().join();
             RawConnection caller = RawConnection.to(ingressPort()).write(REQUEST);
             RawConnection atCopy = copy.accept();
@@ -109,7 +110,7 @@
     @Nested
     class Operators {
 
-        /** The families of the model have a test of their own. */
+        /** The counter families of the model are covered by a separate test. */
         private static boolean isOfTheNode(String series) {
             return Stream.of("refusals", "unknown", "retries", "breaches", "configuration_total")
                     .noneMatch(family -> series.startsWith("carawaysill_" + family));
@@ -166,10 +167,10 @@
     }
 
     @Nested
-    class Starts {
+    class Start {
 
         @Test
-        void failWhereThePortIsTaken() {
+        void failIfThePortIsInUse() {
             node.start().join();
             NodeProcess second = NodeProcess.builder(
                             SettingsText.parsed(copy.address(), ingressPort(), UNUSED_PORT),
@@ -210,8 +211,8 @@
         }
 
         /*
-         * The supervisor reports a failed stop although all went as planned, or a request is cut off: the virtual
-         * machine ends at once on the signal, with the signal as its status.
+         * Guards against a JVM that exits immediately on the signal, with the signal as its exit status. The supervisor
+         * would report a failed stop although the stop succeeded, or a request would be cut off.
          */
         @Test
         void endWithStatusZeroOnTheSignalAfterTheLastRequest() throws Exception {
@@ -233,7 +234,7 @@
         }
 
         @Test
-        void nameEachFaultOfTheirSettings() throws Exception {
+        void reportEachFaultInTheirSettings() throws Exception {
             Process process = launch("[node]\nname = 7\n");
             String output = process.inputReader().lines().collect(Collectors.joining("\n"));
             assertEquals(2, process.waitFor());
