--- a/node/src/main/java/org/carawaysill/node/observation/BadRequest.java
+++ b/node/src/main/java/org/carawaysill/node/observation/BadRequest.java
@@ -2,27 +2,27 @@
 
 import org.carawaysill.model.request.RefusalReason;
 
-/** Why a request never became an event; each has its own counter. Immutable and thread safe. */
+/** Why a request was rejected before it became an event. Each reason has its own counter. Immutable and thread safe. */
 public enum BadRequest {
-    /** It does not follow the protocol. */
+    /** The request violates the protocol. */
     MALFORMED(400, RefusalReason.BAD_REQUEST),
-    /** Its body is framed in a way that the node does not take. */
+    /** The framing of the body is not supported by the node. */
     FRAMING(400, RefusalReason.BAD_REQUEST),
-    /** A header that must be there once came with several values. */
+    /** A header field that must occur once has several values. */
     AMBIGUOUS_HEADER(400, RefusalReason.BAD_REQUEST),
-    /** Its path does not name a service. */
+    /** The path names no service. */
     NO_SERVICE_IN_PATH(404, RefusalReason.BAD_REQUEST),
-    /** Its head did not end in time. */
+    /** The request head was not complete in time. */
     HEAD_TOO_SLOW(408, RefusalReason.BAD_REQUEST),
-    /** Its body did not end in time. */
+    /** The request body was not complete in time. */
     BODY_TOO_SLOW(408, RefusalReason.BAD_REQUEST),
-    /** Its body is larger than the limit. */
+    /** The request body is larger than the limit. */
     BODY_TOO_LARGE(413, RefusalReason.BAD_REQUEST),
-    /** Its request line is longer than the limit. */
+    /** The request line is longer than the limit. */
     LINE_TOO_LONG(414, RefusalReason.BAD_REQUEST),
-    /** Its header fields are larger than the limit. */
+    /** The header fields are larger than the limit. */
     HEADERS_TOO_LARGE(431, RefusalReason.BAD_REQUEST),
-    /** The bodies of the open exchanges fill the memory that the node keeps for them. */
+    /** The bodies of open exchanges fill the memory that the node reserves for them. */
     BODIES_FILL_MEMORY(503, RefusalReason.RING_FULL);
 
     private final int status;
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Gives the HTTP status of the answer.
+     * Returns the HTTP status of the answer.
      *
      * @return the status code
      */
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Gives the reason that the caller is told.
+     * Returns the reason that is sent to the caller.
      *
      * @return the reason
      */
--- a/node/src/main/java/org/carawaysill/node/observation/ConnectionEnd.java
+++ b/node/src/main/java/org/carawaysill/node/observation/ConnectionEnd.java
@@ -1,19 +1,19 @@
 package org.carawaysill.node.observation;
 
-/** Who ended a connection to the local copy, and why. Immutable and thread safe. */
+/** Which side ended a connection to the local copy, and why. Immutable and thread safe. */
 public enum ConnectionEnd {
     /** The copy closed it. */
     COPY_CLOSED,
-    /** It was reset. */
+    /** The connection was reset. */
     COPY_RESET,
     /** The request could not be written. */
     WRITE_FAILED,
-    /** This node closed it: what came on it is no answer to the request. */
+    /** This node closed it because the received bytes are not an answer to the request. */
     BAD_ANSWER,
-    /** This node closed it: the request was cancelled. */
+    /** This node closed it because the request was cancelled. */
     CANCELLED,
-    /** This node closed it: no request needs it. */
+    /** This node closed it because no request needs it. */
     IDLE,
-    /** This node closed it: the node stops. */
+    /** This node closed it because the node stops. */
     NODE_STOPS
 }
--- a/node/src/main/java/org/carawaysill/node/observation/ConnectionFault.java
+++ b/node/src/main/java/org/carawaysill/node/observation/ConnectionFault.java
@@ -1,17 +1,17 @@
 package org.carawaysill.node.observation;
 
-/** Why the node closed an HTTP connection; each has its own counter. Immutable and thread safe. */
+/** Why the node closed an HTTP connection. Each reason has its own counter. Immutable and thread safe. */
 public enum ConnectionFault {
     /** More connections are open than the node serves. */
     TOO_MANY,
-    /** No request began for too long, or its header did not end in time. */
+    /** The connection was idle for too long, or a request head was not complete in time. */
     SLOW_HEADER,
-    /** The body of a request did not end in time. */
+    /** The request body was not complete in time. */
     SLOW_BODY,
-    /** The answer was not read in time. */
+    /** The client did not read its answer in time. */
     SLOW_READER,
-    /** What came is no HTTP, or breaks its framing. */
+    /** The received bytes are not valid HTTP or violate its framing. */
     BROKEN,
-    /** The local copy broke the protocol or the connection. */
+    /** The local copy violated the protocol or broke the connection. */
     COPY_BROKEN
 }
--- a/node/src/main/java/org/carawaysill/node/observation/Counters.java
+++ b/node/src/main/java/org/carawaysill/node/observation/Counters.java
@@ -15,18 +15,18 @@
 /**
  * The node's counters and histograms.
  *
- * <p>Invariant: each reason has its series from the start, at 0, so that a rise is seen from the first occurrence. Thread
- * safe.
+ * <p>Invariant: each reason has its series from the start, with the value 0, so that the first occurrence is visible as
+ * an increase. Thread safe.
  */
 public final class Counters implements Service {
 
     /** The name under which the service is registered. */
     public static final String NAME = "counters";
 
-    /** What the names of all series begin with. */
+    /** The prefix of the names of all series. */
     public static final String PREFIX = "carawaysill_";
 
-    /** The names of families in the plural; others keep their own. */
+    /** The plural names of counter families; a family that is not listed keeps its name. */
     private static final Map<String, String> SERIES =
             Map.of("refusal", "refusals", "retry", "retries", "breach", "breaches", "crash", "crashes");
 
@@ -57,9 +57,9 @@
     private final DistributionDataPoint handoff;
 
     /**
-     * Makes all series.
+     * Creates all series.
      *
-     * @param registry where they are registered
+     * @param registry the registry for the series
      */
     public Counters(PrometheusRegistry registry) {
         this.registry = registry;
@@ -86,7 +86,7 @@
                 .register(registry);
     }
 
-    /** Finds the families by the sealed type itself, so that one that is added later has its series too. */
+    /** Derives the families from the sealed type, so that a family that is added later has its series as well. */
     private void addCounted() {
         for (Class<?> family : Counted.class.getPermittedSubclasses()) {
             Enum<?>[] reasons = (Enum<?>[]) family.getEnumConstants();
@@ -124,7 +124,7 @@
     }
 
     /**
-     * Gives the value of a label for a constant.
+     * Returns the label value for a constant.
      *
      * @param value the constant
      * @return its name in lower case
@@ -139,7 +139,7 @@
     }
 
     /**
-     * Gives the registry of all series.
+     * Returns the registry of all series.
      *
      * @return the registry
      */
@@ -148,16 +148,16 @@
     }
 
     /**
-     * Counts what the policy or an adapter decided.
+     * Counts an occurrence that the policy or an adapter reports.
      *
-     * @param counted what occurred
+     * @param counted the occurrence
      */
     public void count(Counted counted) {
         increment(counted);
     }
 
     /**
-     * Counts a request that never became an event, also as refused.
+     * Counts a request that was rejected before it became an event, also under its refusal reason.
      *
      * @param kind what is wrong with it
      */
@@ -178,7 +178,7 @@
     /**
      * Counts a dropped message.
      *
-     * @param message what was dropped
+     * @param message the kind of message
      */
     public void count(LostMessage message) {
         increment(message);
@@ -195,7 +195,7 @@
     /**
      * Counts an exchange that ended.
      *
-     * @param side at which server
+     * @param side the server of the exchange
      * @param result how it ended
      */
     public void exchangeEnded(ExchangeSide side, ExchangeResult result) {
@@ -218,7 +218,7 @@
     }
 
     /**
-     * Observes how long an event waited for the policy.
+     * Records how long an event waited for the policy.
      *
      * @param nanos the time in nanoseconds
      */
--- a/node/src/main/java/org/carawaysill/node/observation/ExchangeSide.java
+++ b/node/src/main/java/org/carawaysill/node/observation/ExchangeSide.java
@@ -1,8 +1,8 @@
 package org.carawaysill.node.observation;
 
-/** The two HTTP servers through which requests reach a node. Immutable and thread safe. */
+/** The two HTTP servers on which requests reach a node. Immutable and thread safe. */
 public enum ExchangeSide {
-    /** Callers' requests to the local copy's service. */
+    /** Callers' requests to the service of the local copy. */
     INGRESS,
     /** The local copy's own calls to deeper services. */
     EGRESS
--- a/node/src/main/java/org/carawaysill/node/observation/Gauges.java
+++ b/node/src/main/java/org/carawaysill/node/observation/Gauges.java
@@ -14,9 +14,9 @@
 import org.carawaysill.policy.effect.PeerState;
 
 /**
- * The node's gauges, computed when they are read: the published state, the ring, memory and processor time.
+ * The node's gauges, computed when they are scraped: the published state, the ring, memory and processor time.
  *
- * <p>Invariant: reading them costs nothing between reads. Thread safe.
+ * <p>Invariant: they cost nothing between scrapes. Thread safe.
  */
 public final class Gauges implements Service {
 
@@ -30,7 +30,7 @@
     /**
      * Registers all gauges.
      *
-     * @param services where the counters, the inbox and the status board are found
+     * @param services provides the counters, the inbox and the status board
      */
     public Gauges(ServiceRegistry services) {
         this.registry = services.require(Counters.NAME, Counters.class).registry();
--- a/node/src/main/java/org/carawaysill/node/observation/LibraryLog.java
+++ b/node/src/main/java/org/carawaysill/node/observation/LibraryLog.java
@@ -9,17 +9,17 @@
 import java.util.logging.Logger;
 
 /**
- * Takes the place of the console for what libraries log through the JDK: counts each warning, and logs the first of each
- * logger.
+ * Replaces the console for messages that libraries log through the JDK: counts each warning, and logs the first one of
+ * each logger.
  *
- * <p>Guards against a log that grows with what hostile clients send, since Vert.x logs each broken connection in several
- * lines. Thread safe.
+ * <p>Guards against a log that grows with the input of hostile clients, since Vert.x logs several lines for each broken
+ * connection. Thread safe.
  */
 public final class LibraryLog extends Handler {
 
     private final Counters counters;
 
-    private final Set<String> seen = ConcurrentHashMap.newKeySet();
+    private final Set<String> loggedLoggers = ConcurrentHashMap.newKeySet();
 
     private LibraryLog(Counters counters) {
         this.counters = counters;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Installs the handler in the place of all others of this process.
+     * Installs the handler in place of all other handlers of this process.
      *
-     * @param counters where warnings are counted
+     * @param counters counts the warnings
      */
     public static void install(Counters counters) {
         LogManager.getLogManager().reset();
@@ -42,18 +42,18 @@
             return;
         }
         counters.libraryWarning();
-        if (seen.add(entry.getLoggerName())) {
+        if (loggedLoggers.add(entry.getLoggerName())) {
             StateLog.library(entry.getLoggerName(), String.valueOf(entry.getMessage()));
         }
     }
 
     @Override
     public void flush() {
-        // Nothing is kept back.
+        // Nothing is buffered.
     }
 
     @Override
     public void close() {
-        // Nothing is open.
+        // No resources are open.
     }
 }
--- a/node/src/main/java/org/carawaysill/node/observation/LostMessage.java
+++ b/node/src/main/java/org/carawaysill/node/observation/LostMessage.java
@@ -1,11 +1,11 @@
 package org.carawaysill.node.observation;
 
-/** What the node dropped; each has its own counter. Immutable and thread safe. */
+/** The kinds of messages that the node drops. Each has its own counter. Immutable and thread safe. */
 public enum LostMessage {
-    /** An answer to an exchange that had ended. */
+    /** An answer to an exchange that had already ended. */
     LATE_ANSWER,
-    /** A request of another node that found the ring full; it was refused. */
+    /** A request from another node that was refused because the ring was full. */
     PEER_REQUEST,
-    /** Another message of a node that found the ring full. */
+    /** Any other message from a node that was dropped because the ring was full. */
     PEER_NOTICE
 }
--- a/node/src/main/java/org/carawaysill/node/observation/ProcessReadings.java
+++ b/node/src/main/java/org/carawaysill/node/observation/ProcessReadings.java
@@ -7,10 +7,10 @@
 import java.util.regex.Pattern;
 
 /**
- * What the operating system says of this process.
+ * Reads resource usage of this process from the operating system.
  *
- * <p>Read from the files of the process, since the management classes of the JDK would cost the memory that they report.
- * Thread safe.
+ * <p>Reads the files in /proc directly, since the management classes of the JDK would add to the memory that they
+ * report. Thread safe.
  */
 final class ProcessReadings {
 
@@ -24,7 +24,7 @@
 
     private static final double TICKS_PER_SECOND = 100;
 
-    /** User time, counted from the field after the program's name, which may hold spaces. */
+    /** The field of the user time, counted after the program's name, which may contain spaces. */
     private static final int USER_TIME = 12;
 
     private static final int SYSTEM_TIME = 13;
@@ -34,7 +34,7 @@
     /**
      * Reads the resident memory.
      *
-     * @return bytes; 0 where the system does not say
+     * @return bytes; 0 if unavailable
      */
     static double residentBytes() {
         Matcher matcher = RESIDENT.matcher(read(STATUS));
@@ -44,7 +44,7 @@
     /**
      * Reads the processor time.
      *
-     * @return seconds since the process started; 0 where the system does not say
+     * @return seconds since the process started; 0 if unavailable
      */
     static double processorSeconds() {
         String times = read(TIMES);
--- a/node/src/main/java/org/carawaysill/node/observation/StateLog.java
+++ b/node/src/main/java/org/carawaysill/node/observation/StateLog.java
@@ -9,8 +9,8 @@
 /**
  * Writes one line for each change of state: time, level, step, peer and message.
  *
- * <p>Invariant: an entry is one line, whatever the message holds. Thread safe; the writer has a thread of its own, so
- * that nobody waits for the console.
+ * <p>Invariant: an entry is always a single line, whatever the message contains. Thread safe; the logging library
+ * writes on its own thread, so that callers don't wait for the console.
  */
 public final class StateLog {
 
@@ -23,7 +23,7 @@
     /**
      * Logs a change of state.
      *
-     * @param step where it changed
+     * @param step the step in which it changed
      * @param peer the other node that it concerns, if any
      * @param message what changed
      */
@@ -32,11 +32,11 @@
     }
 
     /**
-     * Logs a change of state for the worse.
+     * Logs a fault or a change for the worse.
      *
-     * @param step where it changed
+     * @param step the step in which it occurred
      * @param peer the other node that it concerns, if any
-     * @param message what is wrong now
+     * @param message what is wrong
      */
     public static void fault(Step step, Optional<NodeName> peer, String message) {
         Logger.warn(ENTRY, step, name(peer), oneLine(message));
@@ -52,7 +52,7 @@
         Logger.warn("step={} peer={} {}: {}", NO_PEER, NO_PEER, logger, oneLine(message));
     }
 
-    /** Waits until all entries are written. The log takes none after that. */
+    /** Waits until all entries are written and shuts down the log, which accepts no further entries. */
     public static void flush() {
         try {
             ProviderRegistry.getLoggingProvider().shutdown();
@@ -65,7 +65,10 @@
         return peer.map(node -> oneLine(node.value())).orElse(NO_PEER);
     }
 
-    /** Guards against forged entries: a name or message from outside could hold a line break and a whole false line. */
+    /**
+     * Replaces control characters, which prevents log injection: a name or message from outside could contain a line
+     * break and a forged line.
+     */
     private static String oneLine(String text) {
         return text.replaceAll("\\p{Cntrl}", " ");
     }
--- a/node/src/main/java/org/carawaysill/node/observation/package-info.java
+++ b/node/src/main/java/org/carawaysill/node/observation/package-info.java
@@ -1,4 +1,4 @@
-/** Counters, measurements and the log of changes of state. */
+/** Counters, measurements and the log of state changes. */
 @NullMarked
 package org.carawaysill.node.observation;
 
--- a/node/src/test/java/org/carawaysill/node/observation/CountersTest.java
+++ b/node/src/test/java/org/carawaysill/node/observation/CountersTest.java
@@ -32,8 +32,8 @@
     }
 
     /*
-     * Requests are no longer answered after somebody gave the model a new family of counters: the first count of it threw.
-     * Each constant of each family has its own series, from the start.
+     * Requests were no longer answered after a new family of counters was added to the model, because the first count
+     * of it threw an exception. Checks that each constant of each family has its own series from the start.
      */
     @Test
     void countsEachReasonOfTheModelInItsOwnSeries() {
