--- a/node/src/main/java/org/carawaysill/node/peer/LinkFaultLog.java
+++ b/node/src/main/java/org/carawaysill/node/peer/LinkFaultLog.java
@@ -9,17 +9,18 @@
 import org.carawaysill.protocol.link.LinkFaultKind;
 
 /**
- * Logs a fault of a connection where it is a change of state: not each dial to a node that is down, but the first.
+ * Logs a connection fault only if it is a change of state: the first failed connect to a node that is down, not each
+ * one.
  *
- * <p>Invariant: at most one line for a peer and kind until another kind comes or a connection succeeds; none for senders
- * that have no name, which are only counted. Thread safe.
+ * <p>Invariant: at most one line per peer and kind until a fault of another kind occurs or a connection succeeds; none
+ * for senders without a name, which are only counted. Thread safe.
  */
 public final class LinkFaultLog {
 
     private final Map<NodeName, LinkFaultKind> latest = new ConcurrentHashMap<>();
 
     /**
-     * Logs a fault, unless it is of the kind that this peer had last.
+     * Logs a fault, unless the last fault of this peer was of the same kind.
      *
      * @param fault the fault
      */
@@ -32,7 +33,7 @@
     }
 
     /**
-     * Forgets the last fault of a peer, which is connected now.
+     * Clears the last fault of a peer that is now connected.
      *
      * @param peer the other node
      */
--- a/node/src/main/java/org/carawaysill/node/peer/LinkMetrics.java
+++ b/node/src/main/java/org/carawaysill/node/peer/LinkMetrics.java
@@ -7,7 +7,7 @@
 import org.carawaysill.protocol.link.LinkFaultKind;
 import org.carawaysill.protocol.link.TrafficKind;
 
-/** Shows what the link between nodes counts. Invariant: costs nothing between reads. Thread safe. */
+/** Exports the counters of the link between nodes. Invariant: costs nothing between scrapes. Thread safe. */
 public final class LinkMetrics {
 
     private static final String SENT = "sent";
@@ -20,17 +20,11 @@
         this.counters = counters;
     }
 
-    /**
-     * Registers the metrics.
-     *
-     * @param counters what the link counts
-     * @param registry where to register
-     */
     /**
      * Registers the series of a link.
      *
-     * @param counters what the link counts
-     * @param registry where the series are registered
+     * @param counters the counters of the link
+     * @param registry the registry for the series
      */
     public static void register(LinkCounters counters, PrometheusRegistry registry) {
         LinkMetrics metrics = new LinkMetrics(counters);
--- a/node/src/main/java/org/carawaysill/node/peer/PeerAdapter.java
+++ b/node/src/main/java/org/carawaysill/node/peer/PeerAdapter.java
@@ -26,10 +26,10 @@
 import org.carawaysill.protocol.link.PeerListener;
 
 /**
- * Joins the link between nodes to the policy.
+ * Connects the link between nodes to the policy.
  *
- * <p>Invariant: what finishes work or tells of connections reaches the policy in any case; a request that finds no place
- * is refused at once, anything else that finds none is dropped and counted. Thread safe.
+ * <p>Invariant: events that finish work or report connections always reach the policy; a request is refused at once if
+ * the ring is full, and any other message is then dropped and counted. Thread safe.
  */
 public final class PeerAdapter implements Service, PeerListener {
 
@@ -38,11 +38,11 @@
 
     private static final Duration RING_FULL_RETRY_AFTER = Duration.ofMillis(500);
 
-    /** Room in a frame for what stands beside headers and body. */
+    /** Frame bytes besides headers and body. */
     private static final int FRAME_MARGIN_BYTES = 64 * 1024;
 
-    /** Documents of a megabyte must pass, whatever the limit for bodies. */
-    private static final int SMALLEST_FRAME_LIMIT_BYTES = 2 * 1024 * 1024;
+    /** Documents of a megabyte must fit, whatever the limit for bodies is. */
+    private static final int MINIMUM_FRAME_LIMIT_BYTES = 2 * 1024 * 1024;
 
     private final PeerLink link;
 
@@ -55,11 +55,11 @@
     private final LinkFaultLog faults = new LinkFaultLog();
 
     /**
-     * Makes the adapter, which does not listen yet.
+     * Creates the adapter, which doesn't listen yet.
      *
      * @param settings the node's settings
-     * @param incarnation when the process started, in milliseconds since 1970
-     * @param registry where the inbox, the counters and the status board are found
+     * @param incarnation start time of the process, in milliseconds since 1970
+     * @param registry provides the inbox, the counters and the status board
      */
     public PeerAdapter(NodeSettings settings, long incarnation, ServiceRegistry registry) {
         this.inbox = registry.require(PolicyInbox.NAME, PolicyInbox.class);
@@ -80,7 +80,7 @@
     private static LinkLimits limits(NodeSettings settings) {
         int content = settings.limits().maximumBodyBytes() + settings.limits().maximumHeaderBytes();
         return LinkLimits.builder()
-                .maximumFrameBytes(Math.max(SMALLEST_FRAME_LIMIT_BYTES, content + FRAME_MARGIN_BYTES))
+                .maximumFrameBytes(Math.max(MINIMUM_FRAME_LIMIT_BYTES, content + FRAME_MARGIN_BYTES))
                 .build();
     }
 
@@ -103,8 +103,8 @@
      * Keeps a connection open to a node.
      *
      * @param peer the node
-     * @param host its IP number
-     * @param port its port for nodes
+     * @param host its IP address
+     * @param port its port for other nodes
      */
     public void connect(NodeName peer, String host, int port) {
         link.connect(peer, host, port);
@@ -130,9 +130,9 @@
     }
 
     /**
-     * Drops all traffic of some nodes both ways, in tests of partitions.
+     * Drops all traffic from and to some nodes, for tests of partitions.
      *
-     * @param peers the nodes, in place of those given before
+     * @param peers the nodes, which replace those of earlier calls
      */
     public void block(Set<NodeName> peers) {
         link.block(peers);
@@ -185,7 +185,7 @@
     }
 
     private PeerMessage refusal(PeerMessage.PeerRequest request) {
-        // The holder's table has not been looked into, so an earlier attempt may have run.
+        // The holder's table has not been checked, so an earlier attempt may have run.
         Outcome outcome = request.purpose() == PeerMessage.Purpose.HOLD && !request.idempotent()
                 ? new Outcome.Unknown(UnknownReason.HOLDER_UNREACHABLE, Step.OWNERSHIP, Optional.empty())
                 : new Outcome.NotRun(RefusalReason.RING_FULL, RING_FULL_RETRY_AFTER, Step.PEER_WAIT, Optional.empty());
--- a/node/src/main/java/org/carawaysill/node/peer/package-info.java
+++ b/node/src/main/java/org/carawaysill/node/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Messages with other nodes. */
+/** Exchanges messages with other nodes. */
 @NullMarked
 package org.carawaysill.node.peer;
 
--- a/node/src/test/java/org/carawaysill/node/peer/PeerAdapterTest.java
+++ b/node/src/test/java/org/carawaysill/node/peer/PeerAdapterTest.java
@@ -57,12 +57,12 @@
     }
 
     /*
-     * A node waits until its deadline for an answer and has to call the request unknown, although the other node threw it
-     * away unread: its ring was full. The other node refuses at once, with all credits; here nobody is connected, so the
-     * refusal comes back as unsent.
+     * A node waited until its deadline for an answer and had to report the request as unknown, although the other node
+     * dropped it unread because its ring was full. Checks that the other node refuses at once and returns all retry
+     * credits. No peer is connected here, so the refusal is returned as unsent.
      */
     @Test
-    void refusesARequestThatFindsTheRingFull() {
+    void refusesARequestIfTheRingIsFull() {
         while (bench.inbox().offerWork(new Event.WakeUp()) == Offer.ACCEPTED) {
             Thread.onSpinWait();
         }
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void dropsOnlyWhatALaterMessageMakesUpFor() {
+    void dropsOnlyMessagesThatLaterOnesReplace() {
         while (bench.inbox().offerNotice(new Event.WakeUp()) == Offer.ACCEPTED) {
             Thread.onSpinWait();
         }
