--- a/node/src/main/java/org/carawaysill/node/policy/ChosenPolicyFactory.java
+++ b/node/src/main/java/org/carawaysill/node/policy/ChosenPolicyFactory.java
@@ -18,7 +18,7 @@
 import org.carawaysill.policy.message.PeerMessage.RosterMember;
 import org.carawaysill.policy.time.Moment;
 
-/** Makes the policy that the settings choose. Stateless and thread safe. */
+/** Creates the policy that the settings select. Stateless and thread safe. */
 public final class ChosenPolicyFactory implements NodePolicyFactory {
 
     @Override
--- a/node/src/main/java/org/carawaysill/node/policy/EffectDispatcher.java
+++ b/node/src/main/java/org/carawaysill/node/policy/EffectDispatcher.java
@@ -11,7 +11,7 @@
 import org.carawaysill.node.platform.PlatformReader;
 import org.carawaysill.policy.effect.Effect;
 
-/** Gives each effect to the adapter that it is for. Thread safe, as the adapters are; never blocks. */
+/** Passes each effect to its adapter. Thread safe, as the adapters are; never blocks. */
 final class EffectDispatcher {
 
     private final ExchangeTable exchanges;
--- a/node/src/main/java/org/carawaysill/node/policy/NodeClock.java
+++ b/node/src/main/java/org/carawaysill/node/policy/NodeClock.java
@@ -2,7 +2,7 @@
 
 import org.carawaysill.policy.time.Moment;
 
-/** Reads the node's two clocks. Implementations are thread safe. */
+/** Reads the node's monotonic clock and its wall clock. Implementations are thread safe. */
 @FunctionalInterface
 public interface NodeClock {
 
--- a/node/src/main/java/org/carawaysill/node/policy/PolicyDuty.java
+++ b/node/src/main/java/org/carawaysill/node/policy/PolicyDuty.java
@@ -20,11 +20,11 @@
     private final Duty<Arrival> duty;
 
     /**
-     * Makes the duty of a policy, which does not run yet.
+     * Creates the duty of a policy, which doesn't run yet.
      *
-     * @param policy the policy, which no one else may use from now on
-     * @param clock the clocks of the moments that the policy sees
-     * @param registry where the inbox, the counters and the adapters are found
+     * @param policy the policy, which must not be used by anything else from now on
+     * @param clock the clocks of the moments that are passed to the policy
+     * @param registry provides the inbox, the counters and the adapters
      */
     public PolicyDuty(NodePolicy policy, NodeClock clock, ServiceRegistry registry) {
         PolicyInbox inbox = registry.require(PolicyInbox.NAME, PolicyInbox.class);
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Tells of the end of the thread.
+     * Returns the completion of the thread.
      *
      * @return completes when the thread has ended; fails with the error that ended it
      */
--- a/node/src/main/java/org/carawaysill/node/policy/PolicyInbox.java
+++ b/node/src/main/java/org/carawaysill/node/policy/PolicyInbox.java
@@ -10,10 +10,10 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * The way of all events to the policy's thread.
+ * The queue of all events to the policy's thread.
  *
- * <p>Invariants: no method blocks. New work gets at most half of the ring, so that what finishes work always finds a
- * place. What {@link #deliver} takes is never lost, and events of one thread that are delivered arrive in their order.
+ * <p>Invariants: no method blocks. New work may fill at most half of the ring, so that events that finish work always
+ * find space. Events that are passed to {@link #deliver} are never lost, and those of one thread keep their order.
  * Thread safe.
  */
 public final class PolicyInbox implements Service {
@@ -31,15 +31,15 @@
 
     private final BoundedRing<Arrival> ring = new BoundedRing<>(CAPACITY);
 
-    /** What found the ring full; as long as it holds anything, nothing may pass it. */
+    /** Events that found the ring full; until it is empty again, no other event may overtake them. */
     private final Queue<Arrival> overflow = new ConcurrentLinkedQueue<>();
 
-    private final AtomicBoolean retryPlanned = new AtomicBoolean();
+    private final AtomicBoolean retryScheduled = new AtomicBoolean();
 
     /**
-     * Makes an empty inbox.
+     * Creates an empty inbox.
      *
-     * @param vertx where a delivery that found the ring full is tried again
+     * @param vertx schedules the retries of deliveries that found the ring full
      */
     public PolicyInbox(Vertx vertx) {
         this.vertx = vertx;
@@ -51,27 +51,28 @@
     }
 
     /**
-     * Offers new work, which the offerer refuses at once where it finds no place.
+     * Offers new work, which the caller must refuse at once if the ring has no space for it.
      *
      * @param event the event
-     * @return whether the policy will see it
+     * @return whether the policy will receive it
      */
     public Offer offerWork(Event event) {
         return overflow.isEmpty() ? ring.offerBelow(arrival(event), WORK_LIMIT) : Offer.FULL;
     }
 
     /**
-     * Offers an event that may be lost, since a later one makes up for it.
+     * Offers an event that may be lost, since a later one replaces it.
      *
      * @param event the event
-     * @return whether the policy will see it
+     * @return whether the policy will receive it
      */
     public Offer offerNotice(Event event) {
         return overflow.isEmpty() ? ring.offer(arrival(event)) : Offer.FULL;
     }
 
     /**
-     * Delivers an event that must not be lost. Its number is bounded by the work in flight and the connections.
+     * Delivers an event that must not be lost. The number of such events is bounded by the work in flight and the
+     * connections.
      *
      * @param event the event
      */
@@ -81,15 +82,15 @@
             return;
         }
         overflow.add(arrival);
-        planRetry();
+        scheduleRetry();
     }
 
     private static Arrival arrival(Event event) {
         return new Arrival(event, System.nanoTime());
     }
 
-    private void planRetry() {
-        if (retryPlanned.compareAndSet(false, true)) {
+    private void scheduleRetry() {
+        if (retryScheduled.compareAndSet(false, true)) {
             vertx.setTimer(RETRY_MILLIS, ignored -> retry());
         }
     }
@@ -100,14 +101,14 @@
             overflow.remove();
             oldest = overflow.peek();
         }
-        retryPlanned.set(false);
+        retryScheduled.set(false);
         if (!overflow.isEmpty()) {
-            planRetry();
+            scheduleRetry();
         }
     }
 
     /**
-     * Gives the ring that the policy's thread polls.
+     * Returns the ring that the policy's thread polls.
      *
      * @return the ring
      */
--- a/node/src/main/java/org/carawaysill/node/policy/PolicyWork.java
+++ b/node/src/main/java/org/carawaysill/node/policy/PolicyWork.java
@@ -18,13 +18,13 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Lets the policy decide about each event and dispatches the effects.
+ * Passes each event to the policy and dispatches the effects.
  *
- * <p>Invariant: effects are dispatched in the policy's order. Used only by the policy's thread.
+ * <p>Invariant: effects are dispatched in the policy's order. Not thread safe: used only by the policy's thread.
  */
 final class PolicyWork implements DutyWork<Arrival> {
 
-    private static final int MOST_LOGGED_FAILURES = 100;
+    private static final int MAXIMUM_LOGGED_FAILURES = 100;
 
     private static final long PAUSE_AFTER_FAILURE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -72,11 +72,14 @@
             nextWakeNanos = policy.nextWakeNanos();
         } catch (RuntimeException | AssertionError failure) {
             nextWakeNanos = now.nanos() + PAUSE_AFTER_FAILURE_NANOS;
-            survive(event, failure);
+            containFailure(event, failure);
         }
     }
 
-    /** Guards against an effect that fails and takes those after it along, which shows as requests without an answer. */
+    /**
+     * Dispatches an effect and contains its failure. Otherwise the effects after it would be lost, and requests would
+     * stay unanswered.
+     */
     private void dispatch(Effect effect) {
         try {
             dispatcher.dispatch(effect);
@@ -87,11 +90,11 @@
     }
 
     /**
-     * Guards against a fault of the policy at one event, which would end its thread and show as a node that accepts
-     * connections but never answers. The exchange concerned is answered as unknown, since the effects that came before
-     * the fault may have handed it to a copy; all others go on.
+     * Contains a failure of the policy at one event. Otherwise its thread would end, and the node would accept
+     * connections but never answer. The exchange of the event is answered as unknown, since earlier effects may have
+     * sent the request to a copy; all others continue.
      */
-    private void survive(Event event, Throwable failure) {
+    private void containFailure(Event event, Throwable failure) {
         counters.policyFailure();
         logOnce("the policy failed at an event: " + failure);
         exchangeOf(event).ifPresent(exchange -> {
@@ -101,7 +104,7 @@
     }
 
     private void logOnce(String failure) {
-        if (loggedFailures.size() < MOST_LOGGED_FAILURES && loggedFailures.add(failure)) {
+        if (loggedFailures.size() < MAXIMUM_LOGGED_FAILURES && loggedFailures.add(failure)) {
             StateLog.fault(Step.ADMISSION, Optional.empty(), failure);
         }
     }
--- a/node/src/main/java/org/carawaysill/node/policy/StatusBoard.java
+++ b/node/src/main/java/org/carawaysill/node/policy/StatusBoard.java
@@ -11,10 +11,10 @@
     /** The name under which the service is registered. */
     public static final String NAME = "status-board";
 
-    private static final NodeStatus NOTHING_PUBLISHED =
+    private static final NodeStatus INITIAL_STATUS =
             new NodeStatus(0, 0, 0, 0, Map.of(), false, Map.of(), Map.of(), false);
 
-    private final AtomicReference<NodeStatus> latest = new AtomicReference<>(NOTHING_PUBLISHED);
+    private final AtomicReference<NodeStatus> latest = new AtomicReference<>(INITIAL_STATUS);
 
     @Override
     public String name() {
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Gives the state published last.
+     * Returns the state that was published last.
      *
      * @return the state
      */
--- a/node/src/main/java/org/carawaysill/node/policy/package-info.java
+++ b/node/src/main/java/org/carawaysill/node/policy/package-info.java
@@ -1,4 +1,4 @@
-/** The thread that owns the policy, the ring into it, and the way of its effects to the adapters. */
+/** The thread that owns the policy, the ring of its events, and the dispatch of its effects to the adapters. */
 @NullMarked
 package org.carawaysill.node.policy;
 
--- a/node/src/test/java/org/carawaysill/node/policy/ForwardingPolicy.java
+++ b/node/src/test/java/org/carawaysill/node/policy/ForwardingPolicy.java
@@ -16,7 +16,7 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Hands every caller's request to the local copy and refuses the copy's own calls.
+ * Sends every caller's request to the local copy and refuses the copy's own calls.
  *
  * <p>Invariant: an attempt has the identifier of its exchange. Not thread safe.
  */
--- a/node/src/test/java/org/carawaysill/node/policy/PolicyDutyTest.java
+++ b/node/src/test/java/org/carawaysill/node/policy/PolicyDutyTest.java
@@ -29,12 +29,15 @@
     private final RawCopy copy = new RawCopy();
 
     private final NodeProcess node = NodeProcess.builder(
-                    SettingsText.parsed(copy.address(), 0, 1), (settings, start, random) -> new MoodyPolicy())
+                    SettingsText.parsed(copy.address(), 0, 1), (settings, start, random) -> new FailingPolicy())
             .random(new Random(1))
             .build();
 
-    /** Fails at one path, and when it is woken refuses the others after an effect that fails. Used by one thread. */
-    private static final class MoodyPolicy implements NodePolicy {
+    /**
+     * Throws at one path. At each other request, its next wake-up first emits an effect that fails and then refuses the
+     * request. Not thread safe: used by one thread.
+     */
+    private static final class FailingPolicy implements NodePolicy {
 
         private Optional<Event.CallerRequest> waiting = Optional.empty();
 
@@ -76,12 +79,12 @@
     }
 
     /*
-     * A node accepts connections and never answers again: its policy failed at one request, and its thread ended. The
-     * request is answered as unknown, since the policy may have handed it over before, and others are served. The same
-     * holds for an effect that can't be carried out: those after it are not lost.
+     * A node accepted connections but never answered again, because its policy failed at one request and its thread
+     * ended. Checks that the request is answered as unknown, since the policy may have sent it before the failure, and
+     * that others are served. The same holds for an effect that fails: those after it are not lost.
      */
     @Test
-    void survivesAFaultOfThePolicyAtOneEventAndOfOneEffect() {
+    void continuesAfterAFailureOfThePolicyAndOfAnEffect() {
         node.start().join();
         int port = node.services().require("ingress", ExchangeServer.class).port();
         RawConnection connection = RawConnection.to(port);
--- a/node/src/test/java/org/carawaysill/node/policy/PolicyInboxTest.java
+++ b/node/src/test/java/org/carawaysill/node/policy/PolicyInboxTest.java
@@ -24,12 +24,12 @@
     }
 
     /*
-     * A slot of the copy is never free again, or a node that went is still taken for connected: the ring was full when
-     * the end of the request, or the loss of the connection, was to be told. Such events wait and keep their order; new
-     * work is refused until they have passed.
+     * A slot of the copy was never freed, or a disconnected node was still regarded as connected, because the ring was
+     * full when the end of the request or the loss of the connection was reported. Checks that such events wait and
+     * keep their order, and that new work is refused until they have passed.
      */
     @Test
-    void losesNothingThatIsDeliveredAndKeepsItsOrder() {
+    void losesNoDeliveredEventAndKeepsTheirOrder() {
         IntStream.range(0, MORE_THAN_THE_RING_HOLDS)
                 .forEach(i -> bench.inbox().deliver(new Event.ExchangeClosed(new ExchangeIdentifier(0, i))));
         assertEquals(Offer.FULL, bench.inbox().offerWork(new Event.WakeUp()));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void keepsHalfOfTheRingForWhatEndsWork() {
+    void reservesHalfOfTheRingForEventsThatFinishWork() {
         while (bench.inbox().offerWork(new Event.WakeUp()) == Offer.ACCEPTED) {
             Thread.onSpinWait();
         }
