--- a/node/src/main/java/org/carawaysill/node/platform/BoundedBody.java
+++ b/node/src/main/java/org/carawaysill/node/platform/BoundedBody.java
@@ -7,10 +7,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes a body up to a limit.
+ * Collects a body up to a size limit.
  *
- * <p>Guards against a platform service that answers without end, which would show as an exhausted heap. Invariant: holds
- * no more than its limit. Confined to the event loop.
+ * <p>Guards against an endless answer of a platform service, which would exhaust the heap. Invariant: never holds more
+ * bytes than its limit. Not thread safe: confined to the event loop.
  */
 final class BoundedBody implements WriteStream<Buffer> {
 
--- a/node/src/main/java/org/carawaysill/node/platform/PlatformReader.java
+++ b/node/src/main/java/org/carawaysill/node/platform/PlatformReader.java
@@ -23,24 +23,24 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * Reads configuration and the list of VMs at the platform.
+ * Reads configuration and the list of VMs from the platform.
  *
- * <p>Invariant: each read ends in exactly one event; a version that is not newer than the known one is never given to the
- * policy. Thread safe.
+ * <p>Invariant: each read ends in exactly one event; the policy never receives a version that is not newer than the
+ * known one. Thread safe.
  */
 public final class PlatformReader implements Service {
 
     /** The name under which the service is registered. */
     public static final String NAME = "platform";
 
-    /** The platform's limit for a value, with room for a text that says that it was exceeded. */
+    /** The platform's size limit for a value, plus space for a message that the limit was exceeded. */
     private static final int MAXIMUM_DOCUMENT_BYTES = 1024 * 1024 + 1024;
 
     private static final Duration ANSWER_LIMIT = Duration.ofSeconds(5);
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    /** A waiting read for each service that the copies call, and some for the other reads. */
+    /** One long poll for each service that the copies call, and some connections for other reads. */
     private static final int MAXIMUM_CONNECTIONS = 32;
 
     private static final int NOT_MODIFIED = 304;
@@ -60,11 +60,11 @@
     private final WebClient client;
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
      * @param vertx the Vert.x instance
      * @param settings the node's settings
-     * @param registry where the inbox is found
+     * @param registry provides the inbox
      */
     public PlatformReader(Vertx vertx, NodeSettings settings, ServiceRegistry registry) {
         this.configuration = settings.platform().configuration();
@@ -92,7 +92,7 @@
      * Reads a service's document.
      *
      * @param service the service
-     * @param knownVersion the version already known, 0 for none
+     * @param knownVersion the version that is already known, 0 for none
      * @param patience how long the platform may hold the read open for a newer version; zero for a plain read
      */
     public void readConfiguration(ServiceName service, long knownVersion, Duration patience) {
@@ -154,14 +154,15 @@
 
     private static Event read(ServiceName service, long version, ServiceConfiguration read, String text) {
         if (!read.service().equals(service)) {
-            return new Event.ConfigurationRefused(service, version, "the document is that of " + read.service());
+            return new Event.ConfigurationRefused(
+                    service, version, "the document belongs to service " + read.service());
         }
         return new Event.ConfigurationRead(read, text);
     }
 
     private static void requireOk(PlatformAnswer answer) {
         if (answer.status() != OK) {
-            throw new IllegalStateException("the platform answered " + answer.status());
+            throw new IllegalStateException("the platform answered with HTTP status " + answer.status());
         }
     }
 
@@ -175,7 +176,7 @@
     }
 
     /**
-     * A platform service's answer.
+     * An answer of a platform service.
      *
      * @param status the HTTP status
      * @param version the document's version, 0 for none
--- a/node/src/main/java/org/carawaysill/node/platform/VmListFormat.java
+++ b/node/src/main/java/org/carawaysill/node/platform/VmListFormat.java
@@ -8,17 +8,17 @@
 import org.carawaysill.model.vm.VmList;
 import org.carawaysill.model.vm.VmState;
 
-/** Reads the platform's list of VMs: {@code {"vms": [{"name": "...", "state": "live" | "leaving"}]}}. Thread safe. */
+/** Parses the platform's list of VMs: {@code {"vms": [{"name": "...", "state": "live" | "leaving"}]}}. Thread safe. */
 final class VmListFormat {
 
     private VmListFormat() {}
 
     /**
-     * Reads a list.
+     * Parses a list.
      *
      * @param text the list in JSON
      * @return the list
-     * @throws RuntimeException if the text is anything else
+     * @throws RuntimeException if the text has any other form
      */
     static VmList parse(String text) {
         Map<NodeName, VmState> states = new HashMap<>();
--- a/node/src/main/java/org/carawaysill/node/platform/package-info.java
+++ b/node/src/main/java/org/carawaysill/node/platform/package-info.java
@@ -1,4 +1,4 @@
-/** Reads at the platform's services. */
+/** Reads from the platform's services. */
 @NullMarked
 package org.carawaysill.node.platform;
 
--- a/node/src/test/java/org/carawaysill/node/platform/PlatformReaderTest.java
+++ b/node/src/test/java/org/carawaysill/node/platform/PlatformReaderTest.java
@@ -40,7 +40,7 @@
 
     private final AdapterBench bench = new AdapterBench();
 
-    private final AtomicReference<String> asked = new AtomicReference<>("");
+    private final AtomicReference<String> requestedUri = new AtomicReference<>("");
 
     private int status = 200;
 
@@ -63,7 +63,7 @@
                     bench.registry()));
 
     private void answer(HttpServerRequest request) {
-        asked.set(request.uri());
+        requestedUri.set(request.uri());
         request.response()
                 .setStatusCode(status)
                 .putHeader("Configuration-Version", version)
@@ -93,31 +93,31 @@
             Event.ConfigurationRead read = bench.next(Event.ConfigurationRead.class);
             assertEquals(5, read.configuration().version());
             assertEquals(DOCUMENT, read.text());
-            assertEquals("/configuration/tracker", asked.get());
+            assertEquals("/configuration/tracker", requestedUri.get());
         }
 
         @Test
-        void areAwaitedWithPatience() {
+        void areAwaitedByLongPolling() {
             status = 304;
             read(5, Duration.ofSeconds(20));
             assertEquals(TRACKER, bench.next(Event.ConfigurationUnchanged.class).service());
-            assertEquals("/configuration/tracker?after=5&wait-milliseconds=20000", asked.get());
+            assertEquals("/configuration/tracker?after=5&wait-milliseconds=20000", requestedUri.get());
         }
 
         /*
-         * Selectors that were withdrawn are in force again: a replica of the platform's service that lags behind gave an
+         * Withdrawn selectors came into force again, because a lagging replica of the platform's service returned an
          * older version than the known one.
          */
         @ParameterizedTest
         @ValueSource(strings = {"5", "4", "0"})
-        void areUnchangedWhereTheVersionIsNotNewer(String served) {
+        void areUnchangedIfTheVersionIsNotNewer(String served) {
             version = served;
             read(5, Duration.ZERO);
             bench.next(Event.ConfigurationUnchanged.class);
         }
 
         @Test
-        void areRefusedWithVersionLineAndKeyWhereTheyAreInvalid() {
+        void areRefusedWithVersionLineAndKeyIfInvalid() {
             body = DOCUMENT.replace("slots = 60", "slots = -1");
             read(0, Duration.ZERO);
             Event.ConfigurationRefused refused = bench.next(Event.ConfigurationRefused.class);
@@ -126,7 +126,7 @@
         }
 
         @Test
-        void areRefusedWhereTheyAreThoseOfAnotherService() {
+        void areRefusedIfTheyBelongToAnotherService() {
             body = DOCUMENT.replace("\"tracker\"", "\"parties\"");
             read(0, Duration.ZERO);
             Event.ConfigurationRefused refused = bench.next(Event.ConfigurationRefused.class);
@@ -135,25 +135,25 @@
         }
 
         @Test
-        void failWhereThePlatformFails() {
+        void failIfThePlatformFails() {
             status = 500;
             read(0, Duration.ZERO);
-            assertEquals("the platform answered 500", failure().message());
+            assertEquals("the platform answered with HTTP status 500", failure().message());
             version = "new";
             read(0, Duration.ZERO);
             assertEquals(Step.CONFIGURATION, failure().step());
         }
 
-        /* A node dies of an exhausted heap since the platform's service answers without end. */
+        /* A node ran out of heap because a platform service sent an endless answer. */
         @Test
-        void failWhereTheyAreTooLarge() {
+        void failIfTheyAreTooLarge() {
             body = "x".repeat(8 * 1024 * 1024);
             read(0, Duration.ZERO);
             assertTrue(failure().message().contains("larger than"));
         }
 
         @Test
-        void failWhereNobodyListens() {
+        void failIfThePlatformIsUnreachable() {
             platform.close().toCompletionStage().toCompletableFuture().join();
             read(0, Duration.ofSeconds(20));
             assertEquals(TRACKER, failure().service());
@@ -170,12 +170,12 @@
             assertEquals(
                     Map.of(new NodeName("tracker-1"), VmState.LEAVING),
                     bench.next(Event.VmListRead.class).list().states());
-            assertEquals("/vms", asked.get());
+            assertEquals("/vms", requestedUri.get());
         }
 
         @ParameterizedTest
         @ValueSource(strings = {"", "[]", "{}", "{\"vms\":[7]}", "{\"vms\":[{\"name\":\"a\",\"state\":\"odd\"}]}"})
-        void failWhereTheyAreMalformed(String malformed) {
+        void failIfMalformed(String malformed) {
             body = malformed;
             reader.readVmList();
             assertEquals(Step.VM_LIST, failure().step());
