--- a/node/src/main/java/org/carawaysill/node/admin/AdminServer.java
+++ b/node/src/main/java/org/carawaysill/node/admin/AdminServer.java
@@ -36,8 +36,8 @@
 /**
  * The HTTP server for operators and metrics.
  *
- * <p>Invariant: nothing that it is asked changes how requests are decided, but for draining and, on a bench, faults. The
- * public methods are thread safe, all else is confined to the event loop.
+ * <p>Invariant: no request to it affects how the node decides, except for draining and, on a bench, injected faults.
+ * The public methods are thread safe; everything else is confined to the event loop.
  */
 public final class AdminServer implements Service {
 
@@ -73,12 +73,12 @@
     private final HttpServer server;
 
     /**
-     * Makes the server, which does not listen yet.
+     * Creates the server, which doesn't listen yet.
      *
      * @param vertx the Vert.x instance
      * @param settings the node's settings
-     * @param incarnation when the process started, in milliseconds since 1970
-     * @param registry where the counters, the status board, the planned stop and the link between nodes are found
+     * @param incarnation start time of the process, in milliseconds since 1970
+     * @param registry provides the counters, the status board, the planned stop and the link between nodes
      */
     public AdminServer(Vertx vertx, NodeSettings settings, long incarnation, ServiceRegistry registry) {
         this.settings = settings;
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Tells where the server listens.
+     * Returns the port on which the server listens.
      *
      * @return the bound port
      */
@@ -164,14 +164,14 @@
         Optional<Set<NodeName>> blocked = blockedPeers(routing.body().buffer());
         blocked.ifPresent(names -> {
             peers.block(names);
-            StateLog.change(Step.MEMBERSHIP, Optional.empty(), "traffic dropped of " + names);
+            StateLog.change(Step.MEMBERSHIP, Optional.empty(), "dropping all traffic of nodes " + names);
         });
         routing.response()
                 .setStatusCode(blocked.isPresent() ? NO_CONTENT : BAD_REQUEST)
                 .end();
     }
 
-    /** Reads {@code {"blockedPeers": [names]}}; empty where the body is anything else. */
+    /** Parses {@code {"blockedPeers": [names]}}; returns empty for a body of any other form. */
     private static Optional<Set<NodeName>> blockedPeers(@Nullable Buffer body) {
         try {
             return Optional.ofNullable(body)
--- a/node/src/main/java/org/carawaysill/node/admin/StatusDocument.java
+++ b/node/src/main/java/org/carawaysill/node/admin/StatusDocument.java
@@ -8,7 +8,7 @@
 import org.carawaysill.model.settings.NodeSettings;
 import org.carawaysill.policy.effect.NodeStatus;
 
-/** The node's state as JSON for operators, its maps sorted by name. Thread safe. */
+/** The node's state as JSON for operators, with maps sorted by name. Thread safe. */
 final class StatusDocument {
 
     private StatusDocument() {}
