--- a/node/src/main/java/org/carawaysill/node/exchange/BodyBudget.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/BodyBudget.java
@@ -1,11 +1,11 @@
 package org.carawaysill.node.exchange;
 
 /**
- * The memory that the bodies of all open exchanges may take together.
+ * The memory budget shared by the bodies of all open exchanges.
  *
- * <p>Guards against many large requests at a time, each within its own limit, which would show as an exhausted heap and a
- * dead process: what finds no room is refused before it is read. Invariant: no more than the limit is taken. Confined to
- * the event loop.
+ * <p>Guards against many concurrent large requests, each within its own limit, which would together exhaust the heap
+ * and end the process: a request without budget is refused before its body is read. Invariant: never more than the
+ * limit is reserved. Not thread safe: confined to the event loop.
  */
 public final class BodyBudget {
 
@@ -14,19 +14,19 @@
     private long taken;
 
     /**
-     * Makes a budget of which nothing is taken.
+     * Creates a budget without reservations.
      *
-     * @param limitBytes the bytes that all bodies may take together
+     * @param limitBytes the maximum number of bytes of all bodies together
      */
     public BodyBudget(long limitBytes) {
         this.limit = limitBytes;
     }
 
     /**
-     * Takes room for a body or a part of one.
+     * Reserves memory for a body or a part of one.
      *
      * @param bytes its size
-     * @return whether there was room
+     * @return whether the reservation succeeded
      */
     public boolean take(long bytes) {
         if (taken + bytes > limit) {
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Gives room back.
+     * Releases reserved memory.
      *
-     * @param bytes the size that was taken
+     * @param bytes the size that was reserved
      */
     public void giveBack(long bytes) {
         taken -= bytes;
--- a/node/src/main/java/org/carawaysill/node/exchange/BodyCollector.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/BodyCollector.java
@@ -9,29 +9,29 @@
 /**
  * Collects the body of one request.
  *
- * <p>Invariants: never holds more than its limit; holds nothing once it has refused, and has then given back what it
- * took. Confined to the event loop.
+ * <p>Invariants: never holds more than its limit; after a refusal it holds no data and has released its reservation.
+ * Not thread safe: confined to the event loop.
  */
 final class BodyCollector {
 
-    /** What collecting came to. Immutable and thread safe. */
+    /** The result of collecting a body. Immutable and thread safe. */
     sealed interface Collected {
 
         /**
-         * The body is whole.
+         * The body is complete.
          *
-         * @param body the body, of which the length stays taken from the budget
+         * @param body the body, whose length stays reserved in the budget
          */
         record Whole(Body body) implements Collected {}
 
         /**
          * The body is refused.
          *
-         * @param kind why
+         * @param kind the reason
          */
         record Refused(BadRequest kind) implements Collected {}
 
-        /** The connection ended before the body did. */
+        /** The connection ended before the body was complete. */
         record Gone() implements Collected {}
     }
 
--- a/node/src/main/java/org/carawaysill/node/exchange/ConnectionGuard.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ConnectionGuard.java
@@ -9,12 +9,13 @@
 import org.carawaysill.node.observation.Counters;
 
 /**
- * Closes connections that hold a place without using it.
+ * Closes connections that occupy the server without making progress.
  *
- * <p>Guards against clients that connect and stay silent, send a byte now and then, or don't read their answers, which
- * shows as a node without room for others. An idle timeout of the socket doesn't help, since each byte restarts it; here
- * each phase of an exchange has a limit as a whole. Waiting for the answer has none: the policy's deadline ends it.
- * Invariant: every open connection is watched. Confined to the event loop; ticks only while connections are open.
+ * <p>Guards against clients that connect and send nothing, send a byte now and then, or don't read their answers, until
+ * the node has no connections left for others. An idle timeout of the socket doesn't help, since each byte restarts it;
+ * here each phase of an exchange has a time limit as a whole. Only waiting for the answer has none: the policy's
+ * deadline ends it. Invariant: every open connection is watched. Not thread safe: confined to the event loop. The timer
+ * runs only while connections are open.
  */
 final class ConnectionGuard {
 
@@ -30,7 +31,7 @@
 
     private final long sweepMillis;
 
-    private boolean sweepPlanned;
+    private boolean sweepScheduled;
 
     ConnectionGuard(Vertx vertx, ConnectionLimits limits, Counters counters) {
         this.vertx = vertx;
@@ -47,16 +48,16 @@
         open.put(connection, new ConnectionWatch(limits));
         connection.closeHandler(ignored -> open.remove(connection));
         connection.exceptionHandler(ignored -> counters.count(ConnectionFault.BROKEN));
-        planSweep();
+        scheduleSweep();
     }
 
     ConnectionWatch watch(HttpConnection connection) {
         return open.getOrDefault(connection, new ConnectionWatch(limits));
     }
 
-    private void planSweep() {
-        if (!sweepPlanned && !open.isEmpty()) {
-            sweepPlanned = true;
+    private void scheduleSweep() {
+        if (!sweepScheduled && !open.isEmpty()) {
+            sweepScheduled = true;
             vertx.setTimer(sweepMillis, ignored -> sweep());
         }
     }
@@ -66,8 +67,8 @@
         for (Map.Entry<HttpConnection, ConnectionWatch> entry : List.copyOf(open.entrySet())) {
             entry.getValue().faultAt(now).ifPresent(fault -> close(entry.getKey(), fault));
         }
-        sweepPlanned = false;
-        planSweep();
+        sweepScheduled = false;
+        scheduleSweep();
     }
 
     private void close(HttpConnection connection, ConnectionFault fault) {
--- a/node/src/main/java/org/carawaysill/node/exchange/ConnectionWatch.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ConnectionWatch.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 import org.carawaysill.node.observation.ConnectionFault;
 
-/** What one connection is doing and since when. Confined to the event loop. */
+/** Tracks the current phase of one connection and its time limit. Not thread safe: confined to the event loop. */
 final class ConnectionWatch {
 
     private final ConnectionLimits limits;
 
-    private Optional<ConnectionFault> faultWhenLate = Optional.of(ConnectionFault.SLOW_HEADER);
+    private Optional<ConnectionFault> faultOnTimeout = Optional.of(ConnectionFault.SLOW_HEADER);
 
     private long dueNanos;
 
@@ -23,7 +23,7 @@
     }
 
     void answerAwaited() {
-        faultWhenLate = Optional.empty();
+        faultOnTimeout = Optional.empty();
     }
 
     void answerWriting() {
@@ -35,11 +35,11 @@
     }
 
     private void expect(ConnectionFault fault, Duration limit) {
-        faultWhenLate = Optional.of(fault);
+        faultOnTimeout = Optional.of(fault);
         dueNanos = System.nanoTime() + limit.toNanos();
     }
 
     Optional<ConnectionFault> faultAt(long nanos) {
-        return nanos - dueNanos >= 0 ? faultWhenLate : Optional.empty();
+        return nanos - dueNanos >= 0 ? faultOnTimeout : Optional.empty();
     }
 }
--- a/node/src/main/java/org/carawaysill/node/exchange/Exchange.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/Exchange.java
@@ -6,11 +6,11 @@
 /**
  * An HTTP exchange that waits for its answer.
  *
- * <p>Confined to the event loop.
+ * <p>Not thread safe: confined to the event loop.
  *
- * @param side at which server it is open
- * @param request the request and, in it, the response to write
+ * @param side the server on which it is open
+ * @param request the request, which provides the response to write
  * @param watch the watch of its connection
- * @param bodyBytes what it has taken from the budget of bodies
+ * @param bodyBytes its reservation in the body budget
  */
 record Exchange(ExchangeSide side, HttpServerRequest request, ConnectionWatch watch, int bodyBytes) {}
--- a/node/src/main/java/org/carawaysill/node/exchange/ExchangeServer.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ExchangeServer.java
@@ -35,10 +35,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An HTTP server that turns whole requests into events: the ingress for callers, or the egress for the local copy.
+ * An HTTP server that turns complete requests into events: the ingress for callers, or the egress for the local copy.
  *
- * <p>Invariant: each request gets one answer, or its connection is closed; a bad one is counted and touches no other.
- * The two methods of {@link Service} are thread safe, all else is confined to the event loop.
+ * <p>Invariant: each request gets one answer, or its connection is closed; a bad request is counted and affects no
+ * other one. The methods of {@link Service} are thread safe; everything else is confined to the event loop.
  */
 public final class ExchangeServer implements Service {
 
@@ -48,7 +48,7 @@
 
     private static final long GRACE_SECONDS = 10;
 
-    /** How long the rest of a refused body is read and thrown away, so that the client sees the refusal. */
+    /** How long the rest of a refused body is read and discarded, so that the client receives the refusal. */
     private static final long LINGER_MILLIS = 1000;
 
     private final ExchangeSide side;
@@ -89,22 +89,22 @@
     }
 
     /**
-     * Makes the server for callers.
+     * Creates the server for callers.
      *
-     * @param settings where and within which limits it serves
-     * @param registry where the exchange table, the inbox and the counters are found
-     * @return the server, which does not listen yet
+     * @param settings the address and the limits of the server
+     * @param registry provides the exchange table, the inbox and the counters
+     * @return the server, which doesn't listen yet
      */
     public static ExchangeServer ingress(ExchangeServerSettings settings, ServiceRegistry registry) {
         return new ExchangeServer(ExchangeSide.INGRESS, new RequestTranslation.OfCaller(), settings, registry);
     }
 
     /**
-     * Makes the server for the local copy's own calls.
+     * Creates the server for the local copy's own calls.
      *
-     * @param settings where and within which limits it serves
-     * @param registry where the exchange table, the inbox and the counters are found
-     * @return the server, which does not listen yet
+     * @param settings the address and the limits of the server
+     * @param registry provides the exchange table, the inbox and the counters
+     * @return the server, which doesn't listen yet
      */
     public static ExchangeServer egress(ExchangeServerSettings settings, ServiceRegistry registry) {
         return new ExchangeServer(ExchangeSide.EGRESS, new RequestTranslation.OfCopy(), settings, registry);
@@ -145,7 +145,7 @@
     }
 
     /**
-     * Tells where the server listens.
+     * Returns the port on which the server listens.
      *
      * @return the bound port
      */
@@ -170,11 +170,11 @@
     }
 
     /**
-     * Guards against a fault of the node itself at one request, which would show as a caller that waits for ever: the
-     * connection is closed, so that the caller knows and the policy cancels what there is to cancel.
+     * Closes the connection after a fault of the node itself at one request. Otherwise the caller would wait forever;
+     * with the close, it notices the fault, and the policy cancels the attempts of the request.
      */
     private @Nullable Void abandon(HttpServerRequest request, Throwable failure) {
-        StateLog.fault(Step.INGRESS, Optional.empty(), "a request was abandoned: " + failure);
+        StateLog.fault(Step.INGRESS, Optional.empty(), "request failed in the node, connection closed: " + failure);
         counters.count(ConnectionFault.BROKEN);
         request.connection().close();
         return null;
@@ -197,12 +197,15 @@
     private void offer(ExchangeIdentifier identifier, Event event) {
         if (inbox.offerWork(event) == Offer.FULL) {
             counters.count(RefusalReason.RING_FULL);
-            table.answer(identifier, unheard(event));
+            table.answer(identifier, outcomeOfUnqueued(event));
         }
     }
 
-    /** Under a key an earlier attempt may have run, and nobody who knows has been asked: "not run" could be false. */
-    private static Outcome unheard(Event event) {
+    /**
+     * Returns the outcome of an event that was not queued. For a request with a key, an earlier attempt may have run
+     * and its holder has not been asked, so "not run" could be false.
+     */
+    private static Outcome outcomeOfUnqueued(Event event) {
         boolean keyed =
                 event instanceof Event.CallerRequest request && request.key().isPresent();
         return keyed
@@ -214,12 +217,12 @@
         counters.count(kind);
         counters.exchangeEnded(side, ExchangeResult.NOT_RUN);
         watch.answerWriting();
-        discardRest(request);
+        discardRemainingBody(request);
         request.response().putHeader(HttpHeaders.CONNECTION, "close");
         OutcomeWriter.writeBad(request.response(), kind, detail).onComplete(ignored -> closeAfterRefusal(request));
     }
 
-    private static void discardRest(HttpServerRequest request) {
+    private static void discardRemainingBody(HttpServerRequest request) {
         if (!request.isEnded()) {
             request.handler(ignored -> {});
         }
@@ -229,7 +232,8 @@
         if (request.isEnded() && request.decoderResult().isSuccess()) {
             request.connection().close();
         } else {
-            // A connection closed while the client still sends is reset, and the reset can overtake the refusal.
+            // If a connection is closed while the client still sends, it is reset, and the reset can overtake the
+            // refusal.
             vertx.setTimer(LINGER_MILLIS, ignored -> request.connection().close());
         }
     }
--- a/node/src/main/java/org/carawaysill/node/exchange/ExchangeServerSettings.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ExchangeServerSettings.java
@@ -5,13 +5,13 @@
 import org.carawaysill.model.settings.SizeLimits;
 
 /**
- * Where and within which limits an {@link ExchangeServer} serves.
+ * The address and the limits of an {@link ExchangeServer}.
  *
  * <p>Immutable and thread safe.
  *
  * @param vertx the Vert.x instance, with one event loop
- * @param address where to listen
- * @param sizes the greatest sizes of requests
+ * @param address the address to listen on
+ * @param sizes the size limits of requests
  * @param connections the limits of connections
  */
 public record ExchangeServerSettings(
--- a/node/src/main/java/org/carawaysill/node/exchange/ExchangeTable.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ExchangeTable.java
@@ -21,8 +21,8 @@
 /**
  * The open HTTP exchanges by identifier.
  *
- * <p>Invariants: an exchange is answered at most once, and only by its own identifier; an answer that finds no exchange
- * is dropped and counted. {@link #answer} is thread safe, all else is confined to the event loop.
+ * <p>Invariants: an exchange is answered at most once, and only by its own identifier; an answer without an open
+ * exchange is dropped and counted. {@link #answer} is thread safe; everything else is confined to the event loop.
  */
 public final class ExchangeTable implements Service {
 
@@ -44,12 +44,12 @@
     private final Map<ExchangeIdentifier, Exchange> open = new HashMap<>();
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
      * @param eventLoop the context of the event loop
-     * @param identifiers where new identifiers come from
-     * @param bodyBytes how many bytes the bodies of all open exchanges may take together
-     * @param registry where the inbox, the counters and the status board are found
+     * @param identifiers the source of new identifiers
+     * @param bodyBytes the maximum number of bytes of the bodies of all open exchanges together
+     * @param registry provides the inbox, the counters and the status board
      */
     public ExchangeTable(Context eventLoop, IdentifierSource identifiers, long bodyBytes, ServiceRegistry registry) {
         this.eventLoop = eventLoop;
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Removes an exchange that gets no answer by this table.
+     * Removes an exchange that this table doesn't answer.
      *
      * @param identifier the exchange
      * @return the exchange, if it was open
@@ -102,7 +102,7 @@
      * Answers an exchange, if it is still open.
      *
      * @param identifier the exchange
-     * @param outcome what its request came to
+     * @param outcome the outcome of its request
      */
     public void answer(ExchangeIdentifier identifier, Outcome outcome) {
         eventLoop.runOnContext(ignored -> take(identifier)
@@ -112,7 +112,7 @@
     private void write(Exchange exchange, Outcome outcome) {
         HttpServerResponse response = exchange.request().response();
         if (board.latest().draining()) {
-            // The caller's next request should find another node.
+            // The caller should send its next request to another node.
             response.putHeader(HttpHeaders.CONNECTION, "close");
         }
         exchange.watch().answerWriting();
@@ -121,8 +121,8 @@
             OutcomeWriter.write(response, outcome)
                     .onComplete(ignored -> exchange.watch().answerWritten());
         } catch (RuntimeException unwritable) {
-            // Guards against an answer that HTTP can't carry, such as a header name that a copy made up: the caller
-            // would wait for ever. It sees a closed connection instead of a part of the answer.
+            // HTTP can't represent some answers, such as one with an invalid header name from a copy, and the caller
+            // would wait forever. Closing the connection prevents that, and the caller sees no partial answer.
             counters.count(ConnectionFault.BROKEN);
             exchange.request().connection().close();
         }
--- a/node/src/main/java/org/carawaysill/node/exchange/HeaderHygiene.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/HeaderHygiene.java
@@ -9,10 +9,11 @@
 import org.carawaysill.model.request.Header;
 
 /**
- * Selects the header fields that pass through a node.
+ * Selects the header fields that a node forwards.
  *
- * <p>Invariants: fields that concern one connection only never pass (RFC 9110, section 7.6.1), and of the project's own
- * fields only the caller's name passes, in requests, since the node sets the others itself. Thread safe.
+ * <p>Invariants: fields that concern a single connection are never forwarded (RFC 9110, section 7.6.1); of the
+ * project's own fields, only the caller's name is forwarded, and only in requests, since the node sets the others
+ * itself. Thread safe.
  */
 public final class HeaderHygiene {
 
@@ -28,7 +29,7 @@
             "upgrade",
             "http2-settings");
 
-    /** Fields that the node's own client or server writes anew. */
+    /** Fields that the node's own client or server sets anew. */
     private static final Set<String> REWRITTEN = Set.of("content-length", "host", "expect");
 
     private HeaderHygiene() {}
@@ -37,7 +38,7 @@
      * Selects the fields of a request.
      *
      * @param fields all fields, in order
-     * @return those that pass
+     * @return the fields to forward
      */
     public static List<Header> ofRequest(Iterable<Map.Entry<String, String>> fields) {
         return select(fields, true, REWRITTEN);
@@ -47,26 +48,26 @@
      * Selects the fields of an answer.
      *
      * @param fields all fields, in order
-     * @param bodyless whether the answer states the length of a body that it does not carry
-     * @return those that pass
+     * @param bodyless whether the answer states the length of a body that it doesn't contain
+     * @return the fields to forward
      */
     public static List<Header> ofAnswer(Iterable<Map.Entry<String, String>> fields, boolean bodyless) {
         return select(fields, false, bodyless ? Set.of() : REWRITTEN);
     }
 
     private static List<Header> select(
-            Iterable<Map.Entry<String, String>> fields, boolean callerPasses, Set<String> rewritten) {
+            Iterable<Map.Entry<String, String>> fields, boolean keepsCaller, Set<String> rewritten) {
         Set<String> nominated = nominatedByConnection(fields);
-        List<Header> passing = new ArrayList<>();
+        List<Header> forwarded = new ArrayList<>();
         for (Map.Entry<String, String> field : fields) {
             String name = field.getKey().toLowerCase(Locale.ROOT);
             boolean own = name.startsWith(CarawaysillHeaders.PREFIX)
-                    && !(callerPasses && name.equalsIgnoreCase(CarawaysillHeaders.CALLER));
+                    && !(keepsCaller && name.equalsIgnoreCase(CarawaysillHeaders.CALLER));
             if (!own && !HOP_BY_HOP.contains(name) && !rewritten.contains(name) && !nominated.contains(name)) {
-                passing.add(new Header(field.getKey(), field.getValue()));
+                forwarded.add(new Header(field.getKey(), field.getValue()));
             }
         }
-        return passing;
+        return forwarded;
     }
 
     private static Set<String> nominatedByConnection(Iterable<Map.Entry<String, String>> fields) {
--- a/node/src/main/java/org/carawaysill/node/exchange/IdentifierSource.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/IdentifierSource.java
@@ -3,22 +3,22 @@
 import java.util.random.RandomGenerator;
 import org.carawaysill.model.identity.ExchangeIdentifier;
 
-/** Draws identifiers of 128 random bits. As thread safe as its generator. */
+/** Generates random identifiers of 128 bits. Thread safe if its generator is. */
 public final class IdentifierSource {
 
     private final RandomGenerator random;
 
     /**
-     * Makes a source.
+     * Creates a source.
      *
-     * @param random the generator; a secure one where others must not guess identifiers
+     * @param random the generator; must be secure if others must not be able to guess identifiers
      */
     public IdentifierSource(RandomGenerator random) {
         this.random = random;
     }
 
     /**
-     * Draws an identifier of an exchange.
+     * Generates an identifier of an exchange.
      *
      * @return the identifier
      */
--- a/node/src/main/java/org/carawaysill/node/exchange/OutcomeWriter.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/OutcomeWriter.java
@@ -14,10 +14,10 @@
 import org.carawaysill.node.observation.BadRequest;
 
 /**
- * Writes what a request came to as an HTTP answer.
+ * Writes the outcome of a request as an HTTP answer.
  *
- * <p>Invariant: every answer says in a header which of the three outcomes it is, and no other node's or copy's word on
- * that passes. Confined to the event loop.
+ * <p>Invariant: every answer states in a header field which of the three outcomes it is, and no such statement of
+ * another node or of a copy is forwarded. Not thread safe: confined to the event loop.
  */
 final class OutcomeWriter {
 
@@ -39,8 +39,8 @@
      * Writes an outcome.
      *
      * @param response the response, not yet begun
-     * @param outcome what the request came to
-     * @return completes when the last byte was handed to the operating system
+     * @param outcome the outcome of the request
+     * @return completes when the last byte was passed to the operating system
      */
     static Future<Void> write(HttpServerResponse response, Outcome outcome) {
         return switch (outcome) {
@@ -62,7 +62,10 @@
         return response.end(Buffer.buffer(content.body().bytes()));
     }
 
-    /** Guards against fields that the writer would refuse, so that a copy's odd byte does not lose its whole answer. */
+    /**
+     * Replaces control characters, which the HTTP writer would reject, so that an invalid byte of a copy doesn't
+     * discard its whole answer.
+     */
     private static String withoutControls(String value) {
         return value.replaceAll("[\\p{Cntrl}&&[^\\t]]", " ");
     }
@@ -97,12 +100,12 @@
     }
 
     /**
-     * Writes the refusal of a request that never became an event.
+     * Writes the refusal of a request that was rejected before it became an event.
      *
      * @param response the response, not yet begun
      * @param kind what is wrong with the request
      * @param detail what is wrong, in one line
-     * @return completes when the last byte was handed to the operating system
+     * @return completes when the last byte was passed to the operating system
      */
     static Future<Void> writeBad(HttpServerResponse response, BadRequest kind, String detail) {
         if (kind.status() == UNAVAILABLE) {
--- a/node/src/main/java/org/carawaysill/node/exchange/ProblemDocument.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ProblemDocument.java
@@ -8,17 +8,18 @@
 import org.carawaysill.model.request.Step;
 
 /**
- * The body of an answer that no copy gave: a problem after RFC 9457 with the step, the peer and the reason.
+ * The body of an answer that doesn't come from a copy: a problem document (RFC 9457) with the step, the peer and the
+ * reason.
  *
  * <p>Immutable and thread safe.
  *
  * @param status the HTTP status
- * @param outcome the outcome as the header states it
+ * @param outcome the outcome as stated in the header field
  * @param title the outcome in words
  * @param detail what happened, in one line
- * @param step where it happened
+ * @param step the step in which it happened
  * @param peer the other node that it concerns, if any
- * @param reason the reason, as the counters name it
+ * @param reason the reason, as in the counters
  */
 public record ProblemDocument(
         int status, String outcome, String title, String detail, Step step, Optional<NodeName> peer, String reason) {
@@ -29,7 +30,7 @@
     private static final String TYPE_PREFIX = "urn:carawaysill:outcome:";
 
     /**
-     * Writes the document.
+     * Encodes the document.
      *
      * @return the JSON text
      */
--- a/node/src/main/java/org/carawaysill/node/exchange/ReceivedRequest.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ReceivedRequest.java
@@ -5,12 +5,12 @@
 import org.carawaysill.model.request.RequestContent;
 
 /**
- * A whole request with all its header fields.
+ * A complete request with all its header fields.
  *
- * <p>Confined to the event loop.
+ * <p>Not thread safe: confined to the event loop.
  *
- * @param content the request as it passes on
- * @param fields all fields as they came
+ * @param content the request as it is forwarded
+ * @param fields all received header fields
  */
 record ReceivedRequest(RequestContent content, MultiMap fields) {
 
--- a/node/src/main/java/org/carawaysill/node/exchange/RequestReader.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/RequestReader.java
@@ -9,10 +9,10 @@
 import org.carawaysill.node.observation.BadRequest;
 
 /**
- * Reads requests whole, within limits.
+ * Reads complete requests, within limits.
  *
- * <p>Invariant: of each request at most the limit is kept in memory, and nothing of a refused one. Confined to the event
- * loop.
+ * <p>Invariant: holds at most the limit of each request in memory, and no data of a refused one. Not thread safe:
+ * confined to the event loop.
  */
 final class RequestReader {
 
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Reads a request. The bytes of a whole one are taken from the budget, and the receiver gives them back.
+     * Reads a request. The bytes of a complete request are reserved in the budget, and the receiver must release them.
      *
-     * @param request the request, of which nothing was read yet
+     * @param request the request, none of which has been read yet
      * @return completes on the event loop, never exceptionally
      */
     CompletableFuture<ReadResult> read(HttpServerRequest request) {
@@ -72,8 +72,8 @@
 
     private Optional<ReadResult.Bad> checkFraming(HttpServerRequest request) {
         List<String> encodings = request.headers().getAll(HttpHeaders.TRANSFER_ENCODING);
-        // Guards against a body that this node and another one in the path would end at different places, which shows
-        // as a second request smuggled into the first. Only the plain chunked encoding is taken.
+        // Guards against request smuggling, where this node and another one on the path see the end of the body at
+        // different places. Only the plain chunked coding is accepted.
         if (!encodings.isEmpty()
                 && !(encodings.size() == 1 && encodings.getFirst().equalsIgnoreCase(CHUNKED))) {
             return bad(BadRequest.FRAMING, "only the chunked transfer encoding is taken");
--- a/node/src/main/java/org/carawaysill/node/exchange/RequestTarget.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/RequestTarget.java
@@ -8,9 +8,9 @@
     private RequestTarget() {}
 
     /**
-     * Takes scheme and authority off a target in absolute form, which a client may send to what it takes for a proxy.
+     * Removes scheme and authority from a target in absolute form, which a client may send to a proxy.
      *
-     * @param target the target as it came
+     * @param target the target as received
      * @return path and query
      */
     public static String originForm(String target) {
--- a/node/src/main/java/org/carawaysill/node/exchange/RequestTranslation.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/RequestTranslation.java
@@ -9,21 +9,21 @@
 import org.carawaysill.node.observation.BadRequest;
 import org.carawaysill.policy.event.Event;
 
-/** How a whole request becomes an event. Implementations are immutable and thread safe. */
+/** Translates complete requests into events. Implementations are immutable and thread safe. */
 sealed interface RequestTranslation {
 
-    /** What a request became. Immutable and thread safe. */
+    /** The result of a translation. Immutable and thread safe. */
     sealed interface Translated {
 
         /**
-         * An event.
+         * The request became an event.
          *
          * @param event the event
          */
         record Work(Event event) implements Translated {}
 
         /**
-         * Nothing: the request is refused.
+         * The request is refused.
          *
          * @param kind what is wrong
          * @param detail what is wrong, in one line
@@ -36,11 +36,11 @@
      *
      * @param exchange the exchange to answer
      * @param received the request as it was read
-     * @return the event, or why there is none
+     * @return the event, or the reason for a refusal
      */
     Translated translate(ExchangeIdentifier exchange, ReceivedRequest received);
 
-    /** Callers' requests. */
+    /** Translates callers' requests. */
     record OfCaller() implements RequestTranslation {
 
         private static final CallerName ANONYMOUS = new CallerName("anonymous");
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The local copy's own calls, at {@code /services/SERVICE/REST}. */
+    /** Translates the local copy's own calls, at {@code /services/SERVICE/REST}. */
     record OfCopy() implements RequestTranslation {
 
         private static final String PATH_PREFIX = "/services/";
@@ -87,7 +87,10 @@
             return new RequestContent(content.method(), path, content.headers(), content.body());
         }
 
-        /** An attempt that can't be read counts as none: the call then gets the lowest standing and no retries. */
+        /**
+         * Parses an attempt. A malformed attempt is treated as missing: the call then gets the lowest priority and no
+         * retries.
+         */
         private static Optional<AttemptIdentifier> attempt(String text) {
             try {
                 return Optional.of(AttemptIdentifier.parse(text));
--- a/node/src/test/java/org/carawaysill/node/exchange/ExchangeServerTest.java
+++ b/node/src/test/java/org/carawaysill/node/exchange/ExchangeServerTest.java
@@ -36,7 +36,7 @@
     class Ingress {
 
         @Test
-        void turnsAWholeRequestIntoAnEvent() {
+        void turnsACompleteRequestIntoAnEvent() {
             connect()
                     .write(
                             "POST http://entry/bills/7?full=true HTTP/1.1\r\nHost: entry\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
@@ -53,18 +53,18 @@
         }
 
         @Test
-        void tellsOfACallerThatGoesAway() {
+        void reportsACallerThatDisconnects() {
             RawConnection connection = send("GET /slow HTTP/1.1");
             ExchangeIdentifier exchange = bench.next(Event.CallerRequest.class).exchange();
             connection.close();
             assertEquals(exchange, bench.next(Event.ExchangeClosed.class).exchange());
             answer(exchange, "late");
             AdapterBench.await(() -> bench.counted("lost_messages", "late_answer") == 1);
-            expectOthersUntouched();
+            expectOthersUnaffected();
         }
 
         @Test
-        void answersPipelinedRequestsInTheirOrder() {
+        void answersPipelinedRequestsInOrder() {
             RawConnection connection = connect().write("GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
             answer(bench.next(Event.CallerRequest.class).exchange(), "first");
             answer(bench.next(Event.CallerRequest.class).exchange(), "second");
@@ -73,11 +73,11 @@
         }
 
         /*
-         * A clerk reads another clerk's bill: two callers sent the same key and trace at the same time, and an answer
-         * found the wrong one. Exchanges are told apart by identifiers that the node draws itself.
+         * A clerk read another clerk's bill: two callers sent the same key and trace at the same time, and an answer
+         * was sent to the wrong one. Exchanges are distinguished by identifiers that the node generates.
          */
         @Test
-        void tellsExchangesWithTheSameKeyApart() {
+        void distinguishesExchangesWithTheSameKey() {
             String head = "GET /bill HTTP/1.1\r\nIdempotency-Key: same\r\ntraceparent: 00-same-1-01";
             RawConnection first = send(head);
             ExchangeIdentifier firstExchange =
@@ -96,11 +96,11 @@
                     bench.next(Event.CallerRequest.class).exchange(),
                     new Outcome.Answered(new AnswerContent(200, List.of(new Header("X Odd", "1")), Body.EMPTY)));
             assertEquals("", connection.readToEnd());
-            expectOthersUntouched();
+            expectOthersUnaffected();
         }
 
         @Test
-        void refusesAtOnceWhenTheRingIsFull() {
+        void refusesImmediatelyIfTheRingIsFull() {
             while (bench.inbox().offerWork(new Event.WakeUp()) == Offer.ACCEPTED) {
                 assertTrue(bench.inbox().ring().size() <= bench.inbox().ring().capacity());
             }
@@ -115,7 +115,7 @@
 
         @ParameterizedTest
         @CsvSource({"/services/parties/p/7?x=1,/p/7?x=1", "/services/parties,/", "/services/parties?x=1,/?x=1"})
-        void takesServiceAndParentOfTheCopysCall(String path, String rest) {
+        void readsServiceAndParentOfTheCopysCall(String path, String rest) {
             server = ExchangeServer.egress(settings(ConnectionLimits.DEFAULTS), bench.registry());
             server.start().join();
             send("GET " + path + " HTTP/1.1\r\nCarawaysill-Attempt: " + new AttemptIdentifier(5, 6));
--- a/node/src/test/java/org/carawaysill/node/exchange/HostileClientTest.java
+++ b/node/src/test/java/org/carawaysill/node/exchange/HostileClientTest.java
@@ -26,8 +26,8 @@
         }
 
         /*
-         * One client sends what breaks the rules, and a clerk's request beside it hangs or the node dies. Each such
-         * request gets a counted refusal, its connection is closed, and others are served.
+         * One client sent invalid requests, and a clerk's concurrent request hung or the node died. Checks that each
+         * such request gets a counted refusal, that its connection is closed, and that others are served.
          */
         @ParameterizedTest
         @CsvSource({
@@ -45,40 +45,40 @@
             assertTrue(answer.toLowerCase(Locale.ROOT).contains("carawaysill-outcome: not-run"), answer);
             assertEquals(1, bench.counted("bad_requests", kind));
             assertEquals(1, bench.counted("refusals", "bad_request"));
-            expectOthersUntouched();
+            expectOthersUnaffected();
         }
 
         @Test
         void areRefusedWithTooLongLinesAndHeaders() {
             expectStatus(414, send("GET /" + "x".repeat(9000) + " HTTP/1.1").readToEnd());
             expectStatus(431, send("GET / HTTP/1.1\r\nX: " + "x".repeat(4000)).readToEnd());
-            expectOthersUntouched();
+            expectOthersUnaffected();
         }
 
         @Test
-        void areRefusedWithABodyThatGrowsOverTheLimit() {
+        void areRefusedWithABodyThatExceedsTheLimit() {
             RawConnection connection = send("POST / HTTP/1.1\r\nTransfer-Encoding: chunked");
             connection.write("1000\r\n" + "x".repeat(4096) + "\r\n").write("1\r\nx\r\n");
             assertTrue(connection.readHead().startsWith("HTTP/1.1 413 "));
             connection.writeUntilRefused("400\r\n" + "x".repeat(1024) + "\r\n");
-            expectOthersUntouched();
+            expectOthersUnaffected();
         }
 
         @Test
-        void areCutOffWhenTheirChunksAreBroken() {
+        void areClosedWhenTheirChunksAreInvalid() {
             RawConnection connection =
                     send("POST / HTTP/1.1\r\nTransfer-Encoding: chunked").write("zz\r\n");
             connection.readToEnd();
             AdapterBench.await(() -> bench.counted("connections_closed", "broken") >= 1);
-            expectOthersUntouched();
+            expectOthersUnaffected();
         }
 
         /*
-         * The process dies of an exhausted heap: each of many bodies is within its own limit, all together are not. What
-         * finds no room is refused, and the room comes back with the answers.
+         * The process ran out of heap: each of many bodies was within its own limit, but all together were not. Checks
+         * that a request without budget is refused, and that the budget is released with the answers.
          */
         @Test
-        void areRefusedWhenTheirBodiesFillTheMemoryTogether() {
+        void areRefusedWhenTheirBodiesExceedTheBudgetTogether() {
             String whole = "POST / HTTP/1.1\r\nContent-Length: 4000\r\n\r\n" + "x".repeat(4000);
             RawConnection first = connect().write(whole);
             ExchangeIdentifier exchange = bench.next(Event.CallerRequest.class).exchange();
@@ -95,8 +95,9 @@
     class HostileConnections {
 
         /*
-         * Callers find no place although the node is idle: somebody holds connections and sends nothing, or a byte now
-         * and then. Each phase of an exchange has a limit as a whole, however many bytes come.
+         * Callers could not connect although the node was idle, because a client held connections and sent nothing, or
+         * a byte now and then. Checks that each phase of an exchange has a time limit as a whole, however many bytes
+         * arrive.
          */
         @ParameterizedTest
         @ValueSource(strings = {"", "GET / HT", "GET / HTTP/1.1\r\nX-Slow: 1\r\n"})
@@ -104,7 +105,7 @@
             server = start(new ConnectionLimits(8, SHORT, LONG, LONG, LONG));
             connect().write(begin).readToEnd();
             assertEquals(1, bench.counted("connections_closed", "slow_header"));
-            expectOthersUntouched();
+            expectOthersUnaffected();
         }
 
         @Test
@@ -112,7 +113,7 @@
             server = start(new ConnectionLimits(8, SHORT, LONG, SHORT, LONG));
             connect().write("POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf").readToEnd();
             assertEquals(1, bench.counted("connections_closed", "slow_body"));
-            expectOthersUntouched();
+            expectOthersUnaffected();
         }
 
         @Test
@@ -122,7 +123,7 @@
             answer(bench.next(Event.CallerRequest.class).exchange(), "x".repeat(32 * 1024 * 1024));
             AdapterBench.await(() -> bench.counted("connections_closed", "slow_reader") == 1);
             notReading.close();
-            expectOthersUntouched();
+            expectOthersUnaffected();
         }
 
         @Test
@@ -136,7 +137,7 @@
         }
 
         @Test
-        void areClosedOverTheirNumber() {
+        void areClosedAboveTheMaximumNumber() {
             server = start(new ConnectionLimits(1, LONG, LONG, LONG, LONG));
             RawConnection first = send("GET /other HTTP/1.1");
             ExchangeIdentifier exchange = bench.next(Event.CallerRequest.class).exchange();
--- a/node/src/test/java/org/carawaysill/node/exchange/ServerOnBench.java
+++ b/node/src/test/java/org/carawaysill/node/exchange/ServerOnBench.java
@@ -18,7 +18,7 @@
 import org.carawaysill.policy.event.Event;
 import org.junit.jupiter.api.AfterEach;
 
-/** A server on loopback with the test in the place of the policy. Confined to the test's thread. */
+/** A server on loopback, with the test in place of the policy. Not thread safe: confined to the test's thread. */
 abstract class ServerOnBench {
 
     private static final SizeLimits SIZES = new SizeLimits(4096, 2048);
@@ -67,7 +67,7 @@
     }
 
     /** Checks that a well-behaved client still gets its answer. */
-    void expectOthersUntouched() {
+    void expectOthersUnaffected() {
         RawConnection other = send("GET /other HTTP/1.1");
         Event.CallerRequest request = bench.next(Event.CallerRequest.class);
         assertEquals("/other", request.content().path());
