--- a/node/src/main/java/org/carawaysill/node/copy/AnswerReader.java
+++ b/node/src/main/java/org/carawaysill/node/copy/AnswerReader.java
@@ -12,9 +12,10 @@
 import org.carawaysill.policy.effect.Effect;
 
 /**
- * Reads one answer of the local copy whole.
+ * Reads one complete answer of the local copy.
  *
- * <p>Invariant: an answer counts as complete only if its length or its end mark says so. Confined to the event loop.
+ * <p>Invariant: an answer is regarded as complete only if its length or its last chunk shows it. Not thread safe:
+ * confined to the event loop.
  */
 final class AnswerReader {
 
@@ -39,7 +40,7 @@
         this.maximumBodyBytes = maximumBodyBytes;
     }
 
-    /** Tells whether the answer names no other attempt than the one asked; copies need not name any. */
+    /** Returns whether the answer names the requested attempt or none; copies need not name any. */
     boolean isOwn(HttpClientResponse response) {
         String echoed = response.getHeader(CarawaysillHeaders.ATTEMPT);
         return echoed == null || echoed.equalsIgnoreCase(effect.attempt().toString());
@@ -48,11 +49,11 @@
     /**
      * Reads the answer.
      *
-     * @param response the answer, of which nothing but the head was read yet
-     * @return completes on the event loop with the whole answer, or empty where it is not complete or too large
+     * @param response the answer, of which only the head has been read yet
+     * @return completes on the event loop with the complete answer, or empty if it is incomplete or too large
      */
     CompletableFuture<Optional<AnswerContent>> read(HttpClientResponse response) {
-        if (response.statusCode() < FIRST_FINAL_STATUS || !hasEndMark(response)) {
+        if (response.statusCode() < FIRST_FINAL_STATUS || !isEndDetectable(response)) {
             result.complete(Optional.empty());
             return result;
         }
@@ -63,10 +64,10 @@
     }
 
     /**
-     * Guards against a short success: an answer without a length ends where its connection ends, and a copy that dies in
-     * the middle of it looks the same.
+     * Guards against a truncated success: an answer without a length ends with its connection, which looks the same if
+     * the copy dies in the middle of it.
      */
-    private boolean hasEndMark(HttpClientResponse response) {
+    private boolean isEndDetectable(HttpClientResponse response) {
         return isBodyless(response)
                 || response.headers().contains(HttpHeaders.CONTENT_LENGTH)
                 || response.headers().contains(HttpHeaders.TRANSFER_ENCODING, HttpHeaders.CHUNKED, true);
--- a/node/src/main/java/org/carawaysill/node/copy/CopyClient.java
+++ b/node/src/main/java/org/carawaysill/node/copy/CopyClient.java
@@ -21,18 +21,18 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * The HTTP client towards the local copy.
+ * The HTTP client for the local copy.
  *
- * <p>Invariants: each attempt handed over gets exactly one {@link Event.CopyAnswered}, also when it is cancelled; "not
- * run" is said only where no byte was written; a connection whose exchange was cancelled or failed carries no other one.
- * The public methods are thread safe, all else is confined to the event loop.
+ * <p>Invariants: each attempt gets exactly one {@link Event.CopyAnswered}, also if it is cancelled; "not run" is
+ * reported only if no byte was written; a connection whose exchange was cancelled or failed carries no further one. The
+ * public methods are thread safe; everything else is confined to the event loop.
  */
 public final class CopyClient implements Service {
 
     /** The name under which the service is registered. */
     public static final String NAME = "copy-client";
 
-    /** More than any copy of today's sites accepts; how many are used is the policy's decision. */
+    /** More than any copy of the present sites accepts; the policy decides how many are used. */
     private static final int MAXIMUM_CONNECTIONS = 2048;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
@@ -51,10 +51,10 @@
     private final HttpClient client;
 
     /**
-     * Makes a client that has no connection yet.
+     * Creates a client without connections.
      *
-     * @param settings where and within which limits it works
-     * @param registry where the inbox and the counters are found
+     * @param settings the address and the limits of the client
+     * @param registry provides the inbox and the counters
      */
     public CopyClient(CopyClientSettings settings, ServiceRegistry registry) {
         this.settings = settings;
@@ -68,7 +68,7 @@
                 .build();
     }
 
-    /** Counts what breaks a connection outside an exchange, such as an answer that nobody asked for; it is closed then. */
+    /** Counts faults of a connection outside an exchange, such as an unsolicited answer, which close the connection. */
     private void connected(HttpConnection connection) {
         connection.exceptionHandler(ignored -> counters.count(ConnectionFault.COPY_BROKEN));
     }
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Hands a request to the copy, unless its deadline has passed by the time of writing.
+     * Sends a request to the copy, unless its deadline has passed by the time of writing.
      *
      * @param effect the attempt, the request and the deadline
      */
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Cancels an attempt, if it still runs, and closes its connection.
+     * Cancels an attempt if it is still running, and closes its connection.
      *
      * @param attempt the attempt
      */
@@ -118,7 +118,7 @@
     }
 
     private void start(Effect.HandToCopy effect) {
-        // Guards against two exchanges under one identifier, after which each could get the other's answer.
+        // With two exchanges under one identifier, each could get the other's answer.
         if (running.containsKey(effect.attempt())) {
             counters.count(Invariant.AT_MOST_ONCE);
             return;
--- a/node/src/main/java/org/carawaysill/node/copy/CopyClientSettings.java
+++ b/node/src/main/java/org/carawaysill/node/copy/CopyClientSettings.java
@@ -7,14 +7,14 @@
 import org.carawaysill.model.settings.SizeLimits;
 
 /**
- * Where and within which limits a {@link CopyClient} works.
+ * The address and the limits of a {@link CopyClient}.
  *
  * <p>Immutable and thread safe.
  *
  * @param vertx the Vert.x instance, with one event loop
  * @param eventLoop the context of the event loop
  * @param copy the copy's address
- * @param sizes the greatest sizes of answers
+ * @param sizes the size limits of answers
  * @param nanoClock the monotonic clock of deadlines, in nanoseconds
  */
 public record CopyClientSettings(
--- a/node/src/main/java/org/carawaysill/node/copy/CopyExchange.java
+++ b/node/src/main/java/org/carawaysill/node/copy/CopyExchange.java
@@ -26,7 +26,7 @@
  * One attempt at the local copy, from the connection to the end of the answer.
  *
  * <p>Invariants: finishes exactly once; as "not run" only before {@code written}; unless it finished with a complete
- * answer, its connection is closed. Confined to the event loop.
+ * answer, its connection is closed. Not thread safe: confined to the event loop.
  */
 final class CopyExchange {
 
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Runs a step up to the write. Guards against a request that HTTP can't carry, such as a method that is no token:
-     * the attempt would never finish, and its slot never be free.
+     * Runs a step up to the write. HTTP can't represent some requests, such as one with an invalid method; without this
+     * guard, such an attempt would never finish and its slot would never be freed.
      */
     private void guarded(Runnable step) {
         try {
@@ -105,8 +105,8 @@
 
     private void writeInTime(HttpClientRequest request) {
         if (remainingNanos() <= 0) {
-            // Guards against a process that was paused and hands over late work when it wakes: the copy would run what
-            // its caller has given up. The deadline is checked last, right before the write.
+            // A process that was paused may have late work when it resumes, and the copy would run requests that their
+            // callers have given up. Therefore the deadline is checked last, directly before the write.
             notRun(RefusalReason.DEADLINE, Step.COPY_WRITE);
         } else {
             write(request);
@@ -128,14 +128,14 @@
         request.putHeader(CarawaysillHeaders.DEADLINE_MILLISECONDS, Long.toString(remainingMillis()));
         written = Optional.of(request);
         request.send(Buffer.buffer(content.body().bytes()))
-                .onComplete(this::answering, failure -> unknown(UnknownReason.COPY_LOST));
+                .onComplete(this::answerStarted, failure -> unknown(UnknownReason.COPY_LOST));
     }
 
     private long remainingMillis() {
         return Math.max(1, TimeUnit.NANOSECONDS.toMillis(remainingNanos()));
     }
 
-    private void answering(HttpClientResponse response) {
+    private void answerStarted(HttpClientResponse response) {
         if (finished) {
             return;
         }
@@ -153,7 +153,7 @@
         finish(new Outcome.Answered(content));
     }
 
-    /** Gives the attempt up: says whether it may have run, and closes its connection. */
+    /** Ends the attempt, reports whether it may have run, and closes its connection. */
     void cancel() {
         if (written.isEmpty()) {
             notRun(RefusalReason.CANCELLED, Step.COPY_CONNECT);
@@ -167,8 +167,8 @@
     }
 
     /**
-     * Closes the connection for good. Guards against the late answer of this exchange, which would otherwise be taken
-     * for that of the next request on the same connection.
+     * Closes the connection permanently. Otherwise a late answer of this exchange would be matched to the next request
+     * on the same connection.
      */
     private void unknown(UnknownReason reason) {
         if (!finished) {
--- a/node/src/test/java/org/carawaysill/node/copy/CopyClientTest.java
+++ b/node/src/test/java/org/carawaysill/node/copy/CopyClientTest.java
@@ -47,15 +47,15 @@
 
     private final RawCopy copy = new RawCopy();
 
-    /** Leaps of the clock, one for each reading. */
-    private final Deque<Long> leaps = new ArrayDeque<>();
+    /** Offsets that are added to the clock, one per reading. */
+    private final Deque<Long> clockOffsets = new ArrayDeque<>();
 
     private final CopyClient client = new CopyClient(
             new CopyClientSettings(bench.vertx(), bench.eventLoop(), copy.address(), SIZES, this::clock),
             bench.registry());
 
     private long clock() {
-        return System.nanoTime() + Optional.ofNullable(leaps.poll()).orElse(0L);
+        return System.nanoTime() + Optional.ofNullable(clockOffsets.poll()).orElse(0L);
     }
 
     @AfterEach
@@ -124,11 +124,12 @@
         }
 
         /*
-         * A caller is told "not run" although its request ran: the copy passed on the mark of a call that it made
-         * itself. The node takes such marks, and what concerns one connection only, off each answer of a copy.
+         * A caller received "not run" although its request ran: the copy forwarded the outcome field of a call that it
+         * had made itself. Checks that the node removes the project's fields and hop-by-hop fields from each answer of
+         * a copy.
          */
         @Test
-        void takesMarksAndConnectionHeadersOffTheAnswer() {
+        void removesOutcomeAndHopByHopFieldsFromTheAnswer() {
             handAndAccept(FIRST)
                     .write("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 2\r\nCarawaysill-Outcome: not-run\r\n"
                             + "Connection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nX-Kept: 1\r\n\r\nok");
@@ -163,32 +164,32 @@
     class NotRun {
 
         @Test
-        void isSaidWhenNothingListens() {
+        void isReportedIfTheCopyIsUnreachable() {
             copy.close();
             hand(FIRST, "POST");
             expectNotRun(FIRST, RefusalReason.COPY_UNREACHABLE);
         }
 
         /*
-         * A clerk is told that a request was given up, and it runs all the same: the process was paused between the
-         * decision and the write and woke up after the deadline. The clock leaps while the connection is opened; the
-         * copy must see no byte.
+         * A clerk was informed that a request was given up, but it ran nevertheless: the process was paused between the
+         * decision and the write and resumed after the deadline. Here the clock jumps while the connection is opened;
+         * the copy must receive no byte.
          */
         @Test
-        void isSaidWhenThePauseEndsAfterTheDeadline() {
-            leaps.addAll(List.of(0L, Duration.ofMinutes(2).toNanos()));
+        void isReportedIfAPauseEndsAfterTheDeadline() {
+            clockOffsets.addAll(List.of(0L, Duration.ofMinutes(2).toNanos()));
             hand(FIRST, "POST");
             expectNotRun(FIRST, RefusalReason.DEADLINE);
             assertEquals("", copy.accept().readToEnd());
         }
 
         /*
-         * A slot of the copy is never free again: a request that HTTP can't carry made the client fail in the middle, and
-         * nobody was told of its end.
+         * A slot of the copy was never freed: a request that HTTP can't represent made the client fail before the
+         * write, and its end was not reported.
          */
         @ParameterizedTest
         @CsvSource({"BAD METHOD, gate", "POST, 'gate\r\nX-Forged: 1'"})
-        void isSaidOfARequestThatHttpCannotCarry(String method, String desk) {
+        void isReportedForARequestThatHttpCannotRepresent(String method, String desk) {
             hand(FIRST, method, desk);
             expectNotRun(FIRST, RefusalReason.BAD_REQUEST);
         }
@@ -198,14 +199,14 @@
     class Unknown {
 
         @Test
-        void isSaidWhenTheCopyClosesWithoutAnAnswer() {
+        void isReportedIfTheCopyClosesWithoutAnAnswer() {
             handAndAccept(FIRST).close();
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
         }
 
         /*
-         * A forwarder reads half a manifest as if it were whole: the copy died in the middle of its answer, or the
-         * answer states no length at all, so that its end can't be told from a death.
+         * A forwarder read half a manifest as if it were complete: the copy died in the middle of its answer, or the
+         * answer states no length at all, so that its end can't be distinguished from a crash.
          */
         @ParameterizedTest
         @ValueSource(
@@ -216,7 +217,7 @@
                     "X-No-Length: 1\r\n\r\nshort",
                     "Content-Length: 5000\r\n\r\n"
                 })
-        void isSaidOfATruncatedAnswer(String rest) {
+        void isReportedForATruncatedAnswer(String rest) {
             RawConnection connection = handAndAccept(FIRST).write("HTTP/1.1 200 OK\r\n" + rest);
             if (rest.contains("5000")) {
                 connection.write("x".repeat(5000));
@@ -226,7 +227,7 @@
         }
 
         @Test
-        void isSaidOfAnAnswerThatNamesAnotherAttempt() {
+        void isReportedForAnAnswerThatNamesAnotherAttempt() {
             RawConnection connection = handAndAccept(FIRST)
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nCarawaysill-Attempt: " + SECOND + "\r\n\r\n");
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
@@ -235,7 +236,7 @@
         }
 
         @Test
-        void isSaidOfAnAnswerThatIsNoHttp() {
+        void isReportedForAnAnswerThatIsNotHttp() {
             handAndAccept(FIRST).write("220 mail.example ESMTP\r\n\r\n");
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
         }
@@ -245,11 +246,11 @@
     class OwnAnswer {
 
         /*
-         * An agent sees another agent's bill: the first request was given up, its answer came late, and the next
-         * request on the same connection took it for its own. A cancelled exchange closes its connection.
+         * An agent saw another agent's bill: the first request was given up, its answer came late, and was matched to
+         * the next request on the same connection. Checks that a cancelled exchange closes its connection.
          */
         @Test
-        void isNotTheLateOneOfACancelledExchange() {
+        void isNotTheLateAnswerOfACancelledExchange() {
             RawConnection connection = handAndAccept(FIRST);
             client.cancel(FIRST);
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
@@ -259,12 +260,12 @@
         }
 
         /*
-         * The same, but the copy answers one request twice; the second answer lies in the connection when the next
-         * request is to be written. That one may be told "unknown", when it meets the connection as it closes, but never
-         * gets the stray answer.
+         * The same, but the copy answers one request twice, and the second answer is already received when the next
+         * request is to be written. That request may end as unknown if the connection is being closed at that time, but
+         * never gets the stray answer.
          */
         @Test
-        void isNotTheSecondOneToTheRequestBefore() {
+        void isNotTheSecondAnswerToThePreviousRequest() {
             handAndAccept(FIRST)
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
                             + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
@@ -288,7 +289,7 @@
         }
 
         @Test
-        void staysWithOneOfTwoHandoversOfAnAttempt() {
+        void isGivenOnceIfAnAttemptIsSentTwice() {
             RawConnection connection = handAndAccept(FIRST);
             hand(FIRST, "POST");
             AdapterBench.await(() -> bench.counted("breaches", "at_most_once") == 1);
