--- a/node/src/test/java/org/carawaysill/node/testing/AdapterBench.java
+++ b/node/src/test/java/org/carawaysill/node/testing/AdapterBench.java
@@ -20,10 +20,13 @@
 import org.carawaysill.node.policy.StatusBoard;
 import org.carawaysill.policy.event.Event;
 
-/** What an adapter needs around it, with the test in the place of the policy. Confined to the test's thread. */
+/**
+ * The environment of an adapter under test, with the test in place of the policy. Not thread safe: confined to the
+ * test's thread.
+ */
 public final class AdapterBench implements AutoCloseable {
 
-    private static final long GENEROUS_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
 
@@ -58,10 +61,10 @@
     }
 
     /**
-     * Waits for the next event and expects its type; passes over wake-ups, with which tests fill the ring.
+     * Waits for the next event and checks its type; skips wake-ups, with which tests fill the ring.
      *
-     * @param <T> the type expected
-     * @param type the type expected
+     * @param <T> the expected type
+     * @param type the expected type
      * @return the event
      */
     public <T extends Event> T next(Class<T> type) {
@@ -70,22 +73,22 @@
 
     private Event next() {
         long start = System.nanoTime();
-        while (System.nanoTime() - start < GENEROUS_NANOS) {
+        while (System.nanoTime() - start < TIMEOUT_NANOS) {
             Optional<Arrival> arrival = inbox.ring().poll();
             if (arrival.isPresent() && !(arrival.get().event() instanceof Event.WakeUp)) {
                 return arrival.get().event();
             }
             if (arrival.isEmpty()) {
-                inbox.ring().await(GENEROUS_NANOS);
+                inbox.ring().await(TIMEOUT_NANOS);
             }
         }
-        throw new AssertionError("no event came");
+        throw new AssertionError("no event arrived before the timeout");
     }
 
     /**
      * Reads a counter.
      *
-     * @param name its name after the prefix
+     * @param name its name without the prefix
      * @param label the value of its last label
      * @return the sum over its other labels
      */
@@ -105,15 +108,15 @@
     }
 
     /**
-     * Waits until something holds.
+     * Waits until a condition holds.
      *
-     * @param condition what must hold
+     * @param condition the condition
      */
     public static void await(BooleanSupplier condition) {
         long start = System.nanoTime();
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() - start > GENEROUS_NANOS) {
-                throw new AssertionError("it did not happen");
+            if (System.nanoTime() - start > TIMEOUT_NANOS) {
+                throw new AssertionError("the condition did not hold before the timeout");
             }
             Thread.onSpinWait();
         }
--- a/node/src/test/java/org/carawaysill/node/testing/LoopBench.java
+++ b/node/src/test/java/org/carawaysill/node/testing/LoopBench.java
@@ -13,10 +13,13 @@
 import org.carawaysill.node.observation.Counters;
 import org.carawaysill.policy.fleet.FleetEvent;
 
-/** An event loop with the services that adapters of a fleet's node need, and the events that they give. Thread safe. */
+/**
+ * An event loop with the services that adapters of a fleet node need, and a queue of the events that they emit. Thread
+ * safe.
+ */
 public final class LoopBench implements AutoCloseable {
 
-    private static final int GENEROUS_SECONDS = 30;
+    private static final int TIMEOUT_SECONDS = 30;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop eventLoop = group.next();
@@ -42,7 +45,7 @@
 
     public <E extends FleetEvent> E next(Class<E> type) {
         try {
-            FleetEvent event = events.poll(GENEROUS_SECONDS, TimeUnit.SECONDS);
+            FleetEvent event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (!type.isInstance(event)) {
                 throw new AssertionError("expected " + type.getSimpleName() + " and got " + event);
             }
@@ -58,9 +61,9 @@
     }
 
     /**
-     * Runs something on the event loop, and waits for its end.
+     * Runs an action on the event loop and waits until it ends.
      *
-     * @param action what to run
+     * @param action the action
      */
     public void onLoop(Runnable action) {
         CompletableFuture.runAsync(action, eventLoop).join();
--- a/node/src/test/java/org/carawaysill/node/testing/RawConnection.java
+++ b/node/src/test/java/org/carawaysill/node/testing/RawConnection.java
@@ -8,10 +8,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A connection of which the test writes and reads every byte. Reads wait up to a generous limit. Not thread safe. */
+/** A connection on which the test controls every byte. Reads have a long timeout. Not thread safe. */
 public final class RawConnection implements AutoCloseable {
 
-    private static final int GENEROUS_MILLIS = 30_000;
+    private static final int TIMEOUT_MILLIS = 30_000;
 
     private static final String HEAD_END = "\r\n\r\n";
 
@@ -42,7 +42,7 @@
     /**
      * Writes until the other side closes or resets the connection.
      *
-     * @param text what is written again and again
+     * @param text the text that is written repeatedly
      */
     public void writeUntilRefused(String text) {
         try {
@@ -89,7 +89,7 @@
     /**
      * Reads until the other side closes or resets the connection.
      *
-     * @return all that came
+     * @return all bytes received
      */
     public String readToEnd() {
         StringBuilder text = new StringBuilder();
@@ -101,17 +101,17 @@
 
     private int read() {
         try {
-            socket.setSoTimeout(GENEROUS_MILLIS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
             InputStream input = socket.getInputStream();
             return input.read();
         } catch (SocketTimeoutException late) {
-            throw new AssertionError("nothing came and the connection stayed open", late);
+            throw new AssertionError("no byte arrived before the timeout and the connection stayed open", late);
         } catch (IOException reset) {
             return -1;
         }
     }
 
-    /** Ends the connection with a reset. */
+    /** Resets the connection. */
     public void reset() {
         try {
             socket.setSoLinger(true, 0);
--- a/node/src/test/java/org/carawaysill/node/testing/RawCopy.java
+++ b/node/src/test/java/org/carawaysill/node/testing/RawCopy.java
@@ -6,10 +6,10 @@
 import java.net.ServerSocket;
 import org.carawaysill.model.identity.NetworkAddress;
 
-/** A local copy of which the test plays every byte. Not thread safe. */
+/** A local copy whose every byte is controlled by the test. Not thread safe. */
 public final class RawCopy implements AutoCloseable {
 
-    private static final int GENEROUS_MILLIS = 30_000;
+    private static final int TIMEOUT_MILLIS = 30_000;
 
     private static final int BACKLOG = 50;
 
@@ -18,7 +18,7 @@
     public RawCopy() {
         try {
             server = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
-            server.setSoTimeout(GENEROUS_MILLIS);
+            server.setSoTimeout(TIMEOUT_MILLIS);
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
--- a/node/src/test/java/org/carawaysill/node/testing/package-info.java
+++ b/node/src/test/java/org/carawaysill/node/testing/package-info.java
@@ -1,4 +1,4 @@
-/** Small fakes at the node's interfaces. */
+/** Small fakes of the node's peers and its environment. */
 @NullMarked
 package org.carawaysill.node.testing;
 
