--- a/node/src/main/java/org/carawaysill/node/NodeMain.java
+++ b/node/src/main/java/org/carawaysill/node/NodeMain.java
@@ -24,12 +24,12 @@
 /**
  * Runs a node: {@code carawaysill-node --settings FILE}.
  *
- * <p>Exit status: 0 after a planned stop; 1 where the node can't start, its policy's thread died or its stop takes too
- * long; 2 where the command line or the settings are wrong. Thread safe.
+ * <p>Exit status: 0 after a planned stop; 1 if the node can't start, its policy's thread ended by an error, or its stop
+ * exceeds the time limit; 2 if the command line or the settings are invalid. Thread safe.
  */
 public final class NodeMain {
 
-    private static final int WRONG_USAGE = 2;
+    private static final int INVALID_USAGE = 2;
 
     private static final int FAILED = 1;
 
@@ -52,10 +52,10 @@
         } catch (CmdLineException wrong) {
             System.err.println("carawaysill-node: " + wrong.getMessage());
             parser.printUsage(System.err);
-            System.exit(WRONG_USAGE);
+            System.exit(INVALID_USAGE);
         }
         readSettings(options.settings(), System.err)
-                .ifPresentOrElse(settings -> run(settings, policies), () -> System.exit(WRONG_USAGE));
+                .ifPresentOrElse(settings -> run(settings, policies), () -> System.exit(INVALID_USAGE));
     }
 
     static Optional<NodeSettings> readSettings(Path file, PrintStream errors) {
--- a/node/src/main/java/org/carawaysill/node/NodeOptions.java
+++ b/node/src/main/java/org/carawaysill/node/NodeOptions.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import org.kohsuke.args4j.Option;
 
-/** The command line of the node. Set once by its parser, read only after that; not thread safe. */
+/** The command line options of the node. Not thread safe: set once by the parser, read only after that. */
 final class NodeOptions {
 
     @Option(name = "--settings", metaVar = "FILE", required = true, usage = "the node's settings, a TOML file")
--- a/node/src/main/java/org/carawaysill/node/package-info.java
+++ b/node/src/main/java/org/carawaysill/node/package-info.java
@@ -1,4 +1,4 @@
-/** The process beside each upstream copy. */
+/** The node process that runs beside each upstream copy. */
 @NullMarked
 package org.carawaysill.node;
 
--- a/node/src/test/java/org/carawaysill/node/ForwardingNodeMain.java
+++ b/node/src/test/java/org/carawaysill/node/ForwardingNodeMain.java
@@ -2,7 +2,7 @@
 
 import org.carawaysill.node.policy.ForwardingPolicy;
 
-/** The node's program with a policy that needs no configuration. Thread safe. */
+/** Runs a node with a policy that needs no configuration. Thread safe. */
 public final class ForwardingNodeMain {
 
     private ForwardingNodeMain() {}
