--- a/node/src/main/java/org/carawaysill/node/copy/AnswerReader.java
+++ b/node/src/main/java/org/carawaysill/node/copy/AnswerReader.java
@@ -8,7 +8,7 @@
 import org.carawaysill.model.request.AnswerContent;
 import org.carawaysill.model.request.Body;
 import org.carawaysill.node.exchange.CarawaysillHeaders;
-import org.carawaysill.node.exchange.HeaderHygiene;
+import org.carawaysill.node.exchange.HeaderFilter;
 import org.carawaysill.policy.effect.Effect;
 
 /**
@@ -91,7 +91,7 @@
     private AnswerContent content(HttpClientResponse response) {
         return new AnswerContent(
                 response.statusCode(),
-                HeaderHygiene.ofAnswer(response.headers(), isBodyless(response)),
+                HeaderFilter.ofAnswer(response.headers(), isBodyless(response)),
                 Body.wrap(parts.getBytes()));
     }
 }
--- a/node/src/main/java/org/carawaysill/node/copy/CopyClient.java
+++ b/node/src/main/java/org/carawaysill/node/copy/CopyClient.java
@@ -102,7 +102,7 @@
      *
      * @param effect the attempt, the request and the deadline
      */
-    public void hand(Effect.HandToCopy effect) {
+    public void send(Effect.HandToCopy effect) {
         settings.eventLoop().runOnContext(ignored -> start(effect));
     }
 
--- a/node/src/main/java/org/carawaysill/node/entry/EntryConnection.java
+++ b/node/src/main/java/org/carawaysill/node/entry/EntryConnection.java
@@ -168,7 +168,7 @@
             refuse(BadRequest.BODY_TOO_LARGE, requestName());
             return;
         }
-        if (!server.bodies().take(added)) {
+        if (!server.bodies().reserve(added)) {
             refuse(BadRequest.BODIES_FILL_MEMORY, requestName());
             return;
         }
@@ -214,7 +214,7 @@
     }
 
     private void discardBody() {
-        server.bodies().giveBack(bodyLength);
+        server.bodies().release(bodyLength);
         resetRequest();
     }
 
--- a/node/src/main/java/org/carawaysill/node/entry/EntryServer.java
+++ b/node/src/main/java/org/carawaysill/node/entry/EntryServer.java
@@ -251,7 +251,7 @@
 
     void removeExchange(EntryExchange exchange) {
         if (exchanges.remove(exchange.identifier()) != null) {
-            bodies.giveBack(exchange.bodyBytes());
+            bodies.release(exchange.bodyBytes());
         }
     }
 
--- a/node/src/main/java/org/carawaysill/node/entry/RequestHead.java
+++ b/node/src/main/java/org/carawaysill/node/entry/RequestHead.java
@@ -14,7 +14,7 @@
 import org.carawaysill.model.request.Credential;
 import org.carawaysill.model.request.Header;
 import org.carawaysill.model.request.RequestContent;
-import org.carawaysill.node.exchange.HeaderHygiene;
+import org.carawaysill.node.exchange.HeaderFilter;
 import org.carawaysill.node.exchange.RequestTarget;
 import org.carawaysill.node.observation.BadRequest;
 import org.jspecify.annotations.Nullable;
@@ -104,7 +104,7 @@
     private static List<Header> forwardedHeaders(HttpRequest request, String host, WireDialect dialect) {
         List<Header> headers = new ArrayList<>();
         headers.add(new Header("Host", host));
-        for (Header header : HeaderHygiene.ofRequest(request.headers().entries())) {
+        for (Header header : HeaderFilter.ofRequest(request.headers().entries())) {
             if (!isWithheld(header.name(), dialect)) {
                 headers.add(header);
             }
--- a/node/src/main/java/org/carawaysill/node/exchange/BodyBudget.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/BodyBudget.java
@@ -11,7 +11,7 @@
 
     private final long limit;
 
-    private long taken;
+    private long reserved;
 
     /**
      * Creates a budget without reservations.
@@ -28,11 +28,11 @@
      * @param bytes its size
      * @return whether the reservation succeeded
      */
-    public boolean take(long bytes) {
-        if (taken + bytes > limit) {
+    public boolean reserve(long bytes) {
+        if (reserved + bytes > limit) {
             return false;
         }
-        taken += bytes;
+        reserved += bytes;
         return true;
     }
 
@@ -41,7 +41,7 @@
      *
      * @param bytes the size that was reserved
      */
-    public void giveBack(long bytes) {
-        taken -= bytes;
+    public void release(long bytes) {
+        reserved -= bytes;
     }
 }
--- a/node/src/main/java/org/carawaysill/node/exchange/BodyCollector.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/BodyCollector.java
@@ -22,7 +22,7 @@
          *
          * @param body the body, whose length stays reserved in the budget
          */
-        record Whole(Body body) implements Collected {}
+        record Complete(Body body) implements Collected {}
 
         /**
          * The body is refused.
@@ -32,7 +32,7 @@
         record Refused(BadRequest kind) implements Collected {}
 
         /** The connection ended before the body was complete. */
-        record Gone() implements Collected {}
+        record Disconnected() implements Collected {}
     }
 
     private final int limit;
@@ -58,7 +58,7 @@
         }
         if (parts.length() + part.length() > limit) {
             refuse(new Collected.Refused(BadRequest.BODY_TOO_LARGE));
-        } else if (!budget.take(part.length())) {
+        } else if (!budget.reserve(part.length())) {
             refuse(new Collected.Refused(BadRequest.BODIES_FILL_MEMORY));
         } else {
             parts.appendBuffer(part);
@@ -66,18 +66,18 @@
     }
 
     void end() {
-        result.complete(new Collected.Whole(Body.wrap(parts.getBytes())));
+        result.complete(new Collected.Complete(Body.wrap(parts.getBytes())));
         parts = Buffer.buffer();
     }
 
     void fail(Throwable failure) {
         boolean closed = failure instanceof HttpClosedException;
-        refuse(closed ? new Collected.Gone() : new Collected.Refused(BadRequest.MALFORMED));
+        refuse(closed ? new Collected.Disconnected() : new Collected.Refused(BadRequest.MALFORMED));
     }
 
     private void refuse(Collected refusal) {
         if (!result.isDone()) {
-            budget.giveBack(parts.length());
+            budget.release(parts.length());
             parts = Buffer.buffer();
             result.complete(refusal);
         }
--- a/node/src/main/java/org/carawaysill/node/exchange/ExchangeServer.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ExchangeServer.java
@@ -163,9 +163,9 @@
 
     private void received(HttpServerRequest request, ConnectionWatch watch, ReadResult result) {
         switch (result) {
-            case ReadResult.Whole whole -> open(request, watch, whole.content());
+            case ReadResult.Complete complete -> open(request, watch, complete.content());
             case ReadResult.Bad bad -> refuse(request, watch, bad.kind(), bad.detail());
-            case ReadResult.Gone ignored -> counters.exchangeEnded(side, ExchangeResult.CLOSED);
+            case ReadResult.Disconnected ignored -> counters.exchangeEnded(side, ExchangeResult.CLOSED);
         }
     }
 
@@ -188,7 +188,7 @@
         switch (translation.translate(identifier, received)) {
             case RequestTranslation.Translated.Work work -> offer(identifier, work.event());
             case RequestTranslation.Translated.Bad bad -> {
-                table.take(identifier);
+                table.remove(identifier);
                 refuse(request, watch, bad.kind(), bad.detail());
             }
         }
--- a/node/src/main/java/org/carawaysill/node/exchange/ExchangeTable.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ExchangeTable.java
@@ -80,7 +80,7 @@
     }
 
     private void closed(ExchangeIdentifier identifier) {
-        take(identifier).ifPresent(exchange -> {
+        remove(identifier).ifPresent(exchange -> {
             counters.exchangeEnded(exchange.side(), ExchangeResult.CLOSED);
             inbox.deliver(new Event.ExchangeClosed(identifier));
         });
@@ -92,9 +92,9 @@
      * @param identifier the exchange
      * @return the exchange, if it was open
      */
-    Optional<Exchange> take(ExchangeIdentifier identifier) {
+    Optional<Exchange> remove(ExchangeIdentifier identifier) {
         Optional<Exchange> exchange = Optional.ofNullable(open.remove(identifier));
-        exchange.ifPresent(taken -> budget.giveBack(taken.bodyBytes()));
+        exchange.ifPresent(taken -> budget.release(taken.bodyBytes()));
         return exchange;
     }
 
@@ -105,7 +105,7 @@
      * @param outcome the outcome of its request
      */
     public void answer(ExchangeIdentifier identifier, Outcome outcome) {
-        eventLoop.runOnContext(ignored -> take(identifier)
+        eventLoop.runOnContext(ignored -> remove(identifier)
                 .ifPresentOrElse(exchange -> write(exchange, outcome), () -> counters.count(LostMessage.LATE_ANSWER)));
     }
 
--- a/node/src/main/java/org/carawaysill/node/exchange/HeaderHygiene.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/HeaderFilter.java
@@ -15,7 +15,7 @@
  * project's own fields, only the caller's name is forwarded, and only in requests, since the node sets the others
  * itself. Thread safe.
  */
-public final class HeaderHygiene {
+public final class HeaderFilter {
 
     private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
@@ -32,7 +32,7 @@
     /** Fields that the node's own client or server sets anew. */
     private static final Set<String> REWRITTEN = Set.of("content-length", "host", "expect");
 
-    private HeaderHygiene() {}
+    private HeaderFilter() {}
 
     /**
      * Selects the fields of a request.
--- a/node/src/main/java/org/carawaysill/node/exchange/ReadResult.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ReadResult.java
@@ -11,7 +11,7 @@
      *
      * @param content the request
      */
-    record Whole(RequestContent content) implements ReadResult {}
+    record Complete(RequestContent content) implements ReadResult {}
 
     /**
      * The request is refused, and the rest of it is not processed.
@@ -22,5 +22,5 @@
     record Bad(BadRequest kind, String detail) implements ReadResult {}
 
     /** The connection ended before the request was complete. */
-    record Gone() implements ReadResult {}
+    record Disconnected() implements ReadResult {}
 }
--- a/node/src/main/java/org/carawaysill/node/exchange/RequestReader.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/RequestReader.java
@@ -46,14 +46,14 @@
         request.endHandler(ignored -> collector.end());
         request.exceptionHandler(collector::fail);
         return collector.result().thenApply(body -> switch (body) {
-            case BodyCollector.Collected.Whole whole ->
-                new ReadResult.Whole(new RequestContent(
+            case BodyCollector.Collected.Complete complete ->
+                new ReadResult.Complete(new RequestContent(
                         request.method().name(),
                         RequestTarget.originForm(request.uri()),
-                        HeaderHygiene.ofRequest(request.headers()),
-                        whole.body()));
+                        HeaderFilter.ofRequest(request.headers()),
+                        complete.body()));
             case BodyCollector.Collected.Refused refused -> new ReadResult.Bad(refused.kind(), "the body is refused");
-            case BodyCollector.Collected.Gone ignored -> new ReadResult.Gone();
+            case BodyCollector.Collected.Disconnected ignored -> new ReadResult.Disconnected();
         });
     }
 
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
@@ -85,7 +85,7 @@
 
     private static EventLoopGroup eventLoops() {
         EventLoopFactory.limitLibraries();
-        IoHandlerFactory paced = NioIoHandler.newFactory(SelectorProvider.provider(), PacedSelection::new);
+        IoHandlerFactory paced = NioIoHandler.newFactory(SelectorProvider.provider(), PacedSelectStrategy::new);
         return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("node"), paced);
     }
 
@@ -158,7 +158,7 @@
 
     private void dispatch(FleetEffect effect) {
         switch (effect) {
-            case FleetEffect.HandToCopy hand -> copy.hand(hand);
+            case FleetEffect.HandToCopy hand -> copy.send(hand);
             case FleetEffect.CancelAtCopy cancel -> copy.cancel(cancel.attempt());
             case FleetEffect.CloseIdleAtCopy _ -> copy.closeIdle();
             case FleetEffect.AnswerExchange answer -> entry.answer(answer.exchange(), answer.outcome());
--- a/node/src/main/java/org/carawaysill/node/fleet/PacedSelection.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/PacedSelectStrategy.java
@@ -19,7 +19,7 @@
  * <p>Invariants: no wait is longer than {@link #INTERVAL}, and there is no wait while tasks are due. Not thread safe:
  * confined to its event loop.
  */
-final class PacedSelection implements SelectStrategy {
+final class PacedSelectStrategy implements SelectStrategy {
 
     /** The shortest time between wake-ups of a busy loop: a tenth of the shortest processing time of copies. */
     static final Duration INTERVAL = Duration.ofMillis(2);
@@ -31,11 +31,11 @@
     private final LongConsumer wait;
     private long nextNanos;
 
-    PacedSelection() {
+    PacedSelectStrategy() {
         this(System::nanoTime, LockSupport::parkNanos);
     }
 
-    PacedSelection(LongSupplier nanoTime, LongConsumer wait) {
+    PacedSelectStrategy(LongSupplier nanoTime, LongConsumer wait) {
         this.nanoTime = nanoTime;
         this.wait = wait;
         nextNanos = nanoTime.getAsLong();
--- a/node/src/main/java/org/carawaysill/node/observation/Gauges.java
+++ b/node/src/main/java/org/carawaysill/node/observation/Gauges.java
@@ -85,8 +85,8 @@
         Runtime runtime = Runtime.getRuntime();
         value("heap_used_bytes", "Used heap", () -> runtime.totalMemory() - runtime.freeMemory());
         value("heap_limit_bytes", "Largest heap", runtime::maxMemory);
-        value("resident_bytes", "Resident memory of the process", ProcessReadings::residentBytes);
-        total("processor_seconds", "Processor time of the process", ProcessReadings::processorSeconds);
+        value("resident_bytes", "Resident memory of the process", ProcessStatistics::residentBytes);
+        total("processor_seconds", "Processor time of the process", ProcessStatistics::processorSeconds);
     }
 
     private void status(String name, String help, ToDoubleFunction<NodeStatus> reading) {
--- a/node/src/main/java/org/carawaysill/node/observation/ProcessReadings.java
+++ b/node/src/main/java/org/carawaysill/node/observation/ProcessStatistics.java
@@ -12,7 +12,7 @@
  * <p>Reads the files in /proc directly, since the management classes of the JDK would add to the memory that they
  * report. Thread safe.
  */
-final class ProcessReadings {
+final class ProcessStatistics {
 
     private static final Path STATUS = Path.of("/proc/self/status");
 
@@ -29,7 +29,7 @@
 
     private static final int SYSTEM_TIME = 13;
 
-    private ProcessReadings() {}
+    private ProcessStatistics() {}
 
     /**
      * Reads the resident memory.
--- a/node/src/main/java/org/carawaysill/node/upstream/AnswerCheck.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/AnswerClassifier.java
@@ -11,7 +11,7 @@
  *
  * <p>Stateless and thread safe.
  */
-final class AnswerCheck {
+final class AnswerClassifier {
 
     private static final String IDENTITY = "identity";
 
@@ -29,7 +29,7 @@
 
     private final WireDialect dialect;
 
-    AnswerCheck(WireDialect dialect) {
+    AnswerClassifier(WireDialect dialect) {
         this.dialect = dialect;
     }
 
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
@@ -30,10 +30,10 @@
 import org.carawaysill.model.request.RequestContent;
 import org.carawaysill.model.request.Step;
 import org.carawaysill.model.request.UnknownReason;
-import org.carawaysill.node.exchange.HeaderHygiene;
+import org.carawaysill.node.exchange.HeaderFilter;
 import org.carawaysill.node.observation.ConnectionEnd;
 import org.carawaysill.node.observation.ConnectionFault;
-import org.carawaysill.node.upstream.AnswerCheck.Verdict;
+import org.carawaysill.node.upstream.AnswerClassifier.Verdict;
 import org.carawaysill.policy.fleet.FleetEffect;
 
 /**
@@ -195,7 +195,7 @@
         answer = Optional.of(response);
         body = new ByteArrayOutputStream();
         CopyExchange current = exchange.orElseThrow();
-        verdict = pool.check().classify(response, current.request().requestName());
+        verdict = pool.classifier().classify(response, current.request().requestName());
         if (verdict == Verdict.INVALID) {
             endInvalid();
         } else if (verdict == Verdict.FOREIGN) {
@@ -256,7 +256,7 @@
         response.headers().remove(pool.dialect().requestName());
         return new AnswerContent(
                 response.status().code(),
-                HeaderHygiene.ofAnswer(response.headers().entries(), head),
+                HeaderFilter.ofAnswer(response.headers().entries(), head),
                 Body.wrap(body.toByteArray()));
     }
 
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
@@ -80,7 +80,7 @@
 
     private final EventLoop eventLoop;
     private final WireDialect dialect;
-    private final AnswerCheck check;
+    private final AnswerClassifier classifier;
     private final Counters counters;
     private final DecisionLog log;
     private final Consumer<FleetEvent> events;
@@ -108,7 +108,7 @@
         this.eventLoop = eventLoop;
         this.dialect = dialect;
         this.events = events;
-        check = new AnswerCheck(dialect);
+        classifier = new AnswerClassifier(dialect);
         counters = registry.require(Counters.NAME, Counters.class);
         log = registry.require(DecisionLog.NAME, DecisionLog.class);
         bootstrap = new Bootstrap()
@@ -145,7 +145,7 @@
      *
      * @param request the request
      */
-    public void hand(FleetEffect.HandToCopy request) {
+    public void send(FleetEffect.HandToCopy request) {
         CopyExchange exchange = new CopyExchange(request);
         // With two exchanges under one identifier, each could get the other's answer.
         if (running.putIfAbsent(request.attempt(), exchange) != null) {
@@ -247,7 +247,7 @@
     /**
      * Handles an exchange whose connection ended, and checks whether the copy has ended as well.
      *
-     * <p>Without this check, a request that crashes its copy looks like one whose connection was reset, and is sent to
+     * <p>Without this classifier, a request that crashes its copy looks like one whose connection was reset, and is sent to
      * the next copy. The copy has ended if all its connections end at the same time. Its listening socket may stay open
      * for some milliseconds longer, or permanently if another process holds it; and a leaving copy closes that socket
      * long before it ends. A refused connection therefore means that the copy has ended only if no other connection was
@@ -366,8 +366,8 @@
         return dialect;
     }
 
-    AnswerCheck check() {
-        return check;
+    AnswerClassifier classifier() {
+        return classifier;
     }
 
     void logEnd(CopyExchange exchange, ConnectionEnd reason) {
--- a/node/src/test/java/org/carawaysill/node/copy/CopyClientTest.java
+++ b/node/src/test/java/org/carawaysill/node/copy/CopyClientTest.java
@@ -65,19 +65,19 @@
         bench.close();
     }
 
-    private void hand(AttemptIdentifier attempt, String method) {
-        hand(attempt, method, "gate");
+    private void send(AttemptIdentifier attempt, String method) {
+        send(attempt, method, "gate");
     }
 
-    private void hand(AttemptIdentifier attempt, String method, String desk) {
+    private void send(AttemptIdentifier attempt, String method, String desk) {
         RequestContent content = new RequestContent(
                 method, "/bills/7?full=true", List.of(new Header("X-Desk", desk)), Body.ofText("hello"));
-        client.hand(new Effect.HandToCopy(
+        client.send(new Effect.HandToCopy(
                 attempt, content, System.nanoTime() + Duration.ofMinutes(1).toNanos()));
     }
 
-    private RawConnection handAndAccept(AttemptIdentifier attempt) {
-        hand(attempt, "POST");
+    private RawConnection sendAndAccept(AttemptIdentifier attempt) {
+        send(attempt, "POST");
         RawConnection connection = copy.accept();
         connection.readMessage();
         return connection;
@@ -114,7 +114,7 @@
 
         @Test
         void passesTheRequestWithItsAttemptAndDeadline() {
-            hand(FIRST, "POST");
+            send(FIRST, "POST");
             String request = copy.accept().readMessage();
             assertTrue(request.startsWith("POST /bills/7?full=true HTTP/1.1\r\n"), request);
             assertTrue(request.contains("X-Desk: gate\r\n"), request);
@@ -130,7 +130,7 @@
          */
         @Test
         void removesOutcomeAndHopByHopFieldsFromTheAnswer() {
-            handAndAccept(FIRST)
+            sendAndAccept(FIRST)
                     .write("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 2\r\nCarawaysill-Outcome: not-run\r\n"
                             + "Connection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nX-Kept: 1\r\n\r\nok");
             AnswerContent answer = answerOf(FIRST);
@@ -141,7 +141,7 @@
 
         @Test
         void keepsTheLengthThatAnAnswerToHeadStates() {
-            hand(FIRST, "HEAD");
+            send(FIRST, "HEAD");
             RawConnection connection = copy.accept();
             connection.readHead();
             connection.write("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
@@ -151,9 +151,9 @@
 
         @Test
         void usesAConnectionAgainAfterACompleteAnswer() {
-            RawConnection connection = handAndAccept(FIRST).write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
+            RawConnection connection = sendAndAccept(FIRST).write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
             assertEquals("a", textOf(answerOf(FIRST)));
-            hand(SECOND, "POST");
+            send(SECOND, "POST");
             assertTrue(connection.readMessage().contains(SECOND.toString()));
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nb\r\n0\r\n\r\n");
             assertEquals("b", textOf(answerOf(SECOND)));
@@ -166,7 +166,7 @@
         @Test
         void isReportedIfTheCopyIsUnreachable() {
             copy.close();
-            hand(FIRST, "POST");
+            send(FIRST, "POST");
             expectNotRun(FIRST, RefusalReason.COPY_UNREACHABLE);
         }
 
@@ -178,7 +178,7 @@
         @Test
         void isReportedIfAPauseEndsAfterTheDeadline() {
             clockOffsets.addAll(List.of(0L, Duration.ofMinutes(2).toNanos()));
-            hand(FIRST, "POST");
+            send(FIRST, "POST");
             expectNotRun(FIRST, RefusalReason.DEADLINE);
             assertEquals("", copy.accept().readToEnd());
         }
@@ -190,7 +190,7 @@
         @ParameterizedTest
         @CsvSource({"BAD METHOD, gate", "POST, 'gate\r\nX-Forged: 1'"})
         void isReportedForARequestThatHttpCannotRepresent(String method, String desk) {
-            hand(FIRST, method, desk);
+            send(FIRST, method, desk);
             expectNotRun(FIRST, RefusalReason.BAD_REQUEST);
         }
     }
@@ -200,7 +200,7 @@
 
         @Test
         void isReportedIfTheCopyClosesWithoutAnAnswer() {
-            handAndAccept(FIRST).close();
+            sendAndAccept(FIRST).close();
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
         }
 
@@ -218,7 +218,7 @@
                     "Content-Length: 5000\r\n\r\n"
                 })
         void isReportedForATruncatedAnswer(String rest) {
-            RawConnection connection = handAndAccept(FIRST).write("HTTP/1.1 200 OK\r\n" + rest);
+            RawConnection connection = sendAndAccept(FIRST).write("HTTP/1.1 200 OK\r\n" + rest);
             if (rest.contains("5000")) {
                 connection.write("x".repeat(5000));
             }
@@ -228,7 +228,7 @@
 
         @Test
         void isReportedForAnAnswerThatNamesAnotherAttempt() {
-            RawConnection connection = handAndAccept(FIRST)
+            RawConnection connection = sendAndAccept(FIRST)
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nCarawaysill-Attempt: " + SECOND + "\r\n\r\n");
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
             assertEquals("", connection.readToEnd());
@@ -237,7 +237,7 @@
 
         @Test
         void isReportedForAnAnswerThatIsNotHttp() {
-            handAndAccept(FIRST).write("220 mail.example ESMTP\r\n\r\n");
+            sendAndAccept(FIRST).write("220 mail.example ESMTP\r\n\r\n");
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
         }
     }
@@ -251,11 +251,11 @@
          */
         @Test
         void isNotTheLateAnswerOfACancelledExchange() {
-            RawConnection connection = handAndAccept(FIRST);
+            RawConnection connection = sendAndAccept(FIRST);
             client.cancel(FIRST);
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
             assertEquals("", connection.readToEnd());
-            handAndAccept(SECOND).write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
+            sendAndAccept(SECOND).write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
             assertEquals("own", textOf(answerOf(SECOND)));
         }
 
@@ -266,7 +266,7 @@
          */
         @Test
         void isNotTheSecondAnswerToThePreviousRequest() {
-            handAndAccept(FIRST)
+            sendAndAccept(FIRST)
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
                             + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
             assertEquals("one", textOf(answerOf(FIRST)));
@@ -274,7 +274,7 @@
             Outcome outcome = new Outcome.Unknown(UnknownReason.COPY_LOST, Step.COPY_WAIT, Optional.empty());
             for (int i = 0; outcome instanceof Outcome.Unknown; i++) {
                 AttemptIdentifier attempt = new AttemptIdentifier(3, i);
-                hand(attempt, "POST");
+                send(attempt, "POST");
                 outcome = outcomeOf(attempt);
             }
             assertEquals(
@@ -290,8 +290,8 @@
 
         @Test
         void isGivenOnceIfAnAttemptIsSentTwice() {
-            RawConnection connection = handAndAccept(FIRST);
-            hand(FIRST, "POST");
+            RawConnection connection = sendAndAccept(FIRST);
+            send(FIRST, "POST");
             AdapterBench.await(() -> bench.counted("breaches", "at_most_once") == 1);
             connection.write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none");
             assertEquals("one", textOf(answerOf(FIRST)));
--- a/node/src/test/java/org/carawaysill/node/exchange/ExchangeServerTest.java
+++ b/node/src/test/java/org/carawaysill/node/exchange/ExchangeServerTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 @Timeout(120)
-class ExchangeServerTest extends ServerOnBench {
+class ExchangeServerTest extends ExchangeServerTestBase {
 
     @Nested
     class Ingress {
--- a/node/src/test/java/org/carawaysill/node/exchange/ServerOnBench.java
+++ b/node/src/test/java/org/carawaysill/node/exchange/ExchangeServerTestBase.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 
 /** A server on loopback, with the test in place of the policy. Not thread safe: confined to the test's thread. */
-abstract class ServerOnBench {
+abstract class ExchangeServerTestBase {
 
     private static final SizeLimits SIZES = new SizeLimits(4096, 2048);
 
--- a/node/src/test/java/org/carawaysill/node/exchange/HostileClientTest.java
+++ b/node/src/test/java/org/carawaysill/node/exchange/HostileClientTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 @Timeout(120)
-class HostileClientTest extends ServerOnBench {
+class HostileClientTest extends ExchangeServerTestBase {
 
     @Nested
     class HostileRequests {
--- a/node/src/test/java/org/carawaysill/node/fleet/PacedSelectionTest.java
+++ b/node/src/test/java/org/carawaysill/node/fleet/PacedSelectStrategyTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-class PacedSelectionTest {
+class PacedSelectStrategyTest {
 
-    private static final long INTERVAL = PacedSelection.INTERVAL.toNanos();
+    private static final long INTERVAL = PacedSelectStrategy.INTERVAL.toNanos();
 
     private long now;
     private long waited;
-    private final PacedSelection selection = new PacedSelection(() -> now, this::sleep);
+    private final PacedSelectStrategy selection = new PacedSelectStrategy(() -> now, this::sleep);
 
     private void sleep(long nanos) {
         now += nanos;
@@ -40,7 +40,7 @@
         @Test
         void allowsABurstAfterAnIdleTime() throws Exception {
             now += TimeUnit.SECONDS.toNanos(1);
-            for (int i = 0; i < PacedSelection.MAXIMUM_BURST; i++) {
+            for (int i = 0; i < PacedSelectStrategy.MAXIMUM_BURST; i++) {
                 select();
             }
             assertEquals(0, waited);
@@ -59,7 +59,7 @@
                 select();
                 now += INTERVAL / 10;
             }
-            assertTrue(now - begin >= (wakeUps - PacedSelection.MAXIMUM_BURST) * INTERVAL);
+            assertTrue(now - begin >= (wakeUps - PacedSelectStrategy.MAXIMUM_BURST) * INTERVAL);
         }
     }
 
@@ -72,7 +72,8 @@
          */
         @Test
         void isNotCompensated() throws Exception {
-            PacedSelection interrupted = new PacedSelection(() -> now, nanos -> waited = Math.max(waited, nanos));
+            PacedSelectStrategy interrupted =
+                    new PacedSelectStrategy(() -> now, nanos -> waited = Math.max(waited, nanos));
             for (int i = 0; i < 100; i++) {
                 interrupted.calculateStrategy(() -> 0, false);
             }
--- a/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
+++ b/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
@@ -49,11 +49,11 @@
         copy.close();
     }
 
-    private AttemptIdentifier hand(String name) {
-        return hand(name, Duration.ofSeconds(20));
+    private AttemptIdentifier send(String name) {
+        return send(name, Duration.ofSeconds(20));
     }
 
-    private AttemptIdentifier hand(String name, Duration patience) {
+    private AttemptIdentifier send(String name, Duration timeout) {
         AttemptIdentifier attempt = new AttemptIdentifier(0, ++attempts);
         FleetEffect.HandToCopy effect = new FleetEffect.HandToCopy(
                 attempt,
@@ -66,8 +66,8 @@
                         "/bills/" + name,
                         List.of(new Header("Authorization", "Token secret"), new Header("organisation", "forged")),
                         Body.ofText("body of " + name)),
-                System.nanoTime() + patience.toNanos());
-        bench.onLoop(() -> connections.hand(effect));
+                System.nanoTime() + timeout.toNanos());
+        bench.onLoop(() -> connections.send(effect));
         return attempt;
     }
 
@@ -102,7 +102,7 @@
         /** Guards against passing to a copy a key, or an organisation that the client made up. */
         @Test
         void containTheOrganisationAndNeverAKey() {
-            hand("a");
+            send("a");
             String request = copy.accept().readMessage();
             assertTrue(request.contains("Organisation: agents\r\n"), request);
             assertFalse(request.contains("forged"), request);
@@ -111,7 +111,7 @@
 
         @Test
         void containTheCopyTheCallerAndTheRemainingTime() {
-            AttemptIdentifier attempt = hand("a");
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             String request = connection.readMessage();
             assertTrue(request.startsWith("POST /bills/a HTTP/1.1\r\n"), request);
@@ -126,12 +126,12 @@
 
         @Test
         void reuseAConnection() {
-            AttemptIdentifier first = hand("a");
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(answer("a", "one"));
             expectGood(first, "one");
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             connection.readMessage();
             connection.write(answer("b", "two"));
             expectGood(second, "two");
@@ -143,7 +143,7 @@
          */
         @Test
         void areNotWrittenAfterTheirDeadline() {
-            expectNotRun(hand("a", Duration.ofMillis(-1)), RefusalReason.DEADLINE);
+            expectNotRun(send("a", Duration.ofMillis(-1)), RefusalReason.DEADLINE);
         }
     }
 
@@ -156,11 +156,11 @@
         private RawConnection secondConnection;
 
         /** Sends two requests to the copy, each on its own connection. */
-        private void handTwo() {
-            firstOfTwo = hand("a");
+        private void sendTwo() {
+            firstOfTwo = send("a");
             firstConnection = copy.accept();
             firstConnection.readMessage();
-            secondOfTwo = hand("b");
+            secondOfTwo = send("b");
             secondConnection = copy.accept();
             secondConnection.readMessage();
         }
@@ -172,7 +172,7 @@
          */
         @Test
         void areReportedWithAllRequestsInFlight() {
-            handTwo();
+            sendTwo();
             copy.close();
             firstConnection.close();
             secondConnection.close();
@@ -188,7 +188,7 @@
          */
         @Test
         void areDetectedWhileTheAddressStillAcceptsConnections() {
-            handTwo();
+            sendTwo();
             firstConnection.close();
             secondConnection.close();
             FleetEvent.CopyCrashed crashed = bench.next(FleetEvent.CopyCrashed.class);
@@ -198,11 +198,11 @@
         /** Another process listens at once; the requests that it has accepted continue. */
         @Test
         void doNotEndRequestsOfTheNextProcess() {
-            handTwo();
+            sendTwo();
             firstConnection.close();
             secondConnection.close();
             copy.accept();
-            AttemptIdentifier third = hand("c");
+            AttemptIdentifier third = send("c");
             RawConnection thirdConnection = copy.accept();
             thirdConnection.readMessage();
             FleetEvent.CopyCrashed crashed = bench.next(FleetEvent.CopyCrashed.class);
@@ -214,7 +214,7 @@
         /** One of two connections ends, and the copy continues on the other one. */
         @Test
         void areNotReportedWhenOneOfSeveralConnectionsEnds() {
-            handTwo();
+            sendTwo();
             firstConnection.close();
             expectUnknown(firstOfTwo);
             secondConnection.write(answer("b", "two"));
@@ -226,7 +226,7 @@
          */
         @Test
         void areNotReportedWhenTheCopyStopsListening() {
-            handTwo();
+            sendTwo();
             copy.close();
             firstConnection.close();
             expectUnknown(firstOfTwo);
@@ -237,7 +237,7 @@
         /** Guards against blaming a request for a crash when a leaving copy resets one of several connections. */
         @Test
         void areNotReportedWhileAnIdleConnectionIsOpen() {
-            handTwo();
+            sendTwo();
             secondConnection.write(answer("b", "two"));
             expectGood(secondOfTwo, "two");
             copy.close();
@@ -248,13 +248,13 @@
         /** A copy that still accepts connections has not ended; the probe's connection carries the next request. */
         @Test
         void areNotReportedWhenTheCopyAcceptsANewConnection() {
-            AttemptIdentifier first = hand("a");
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.close();
             expectUnknown(first);
             RawConnection other = copy.accept();
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             other.readMessage();
             other.write(answer("b", "two"));
             expectGood(second, "two");
@@ -262,12 +262,12 @@
 
         @Test
         void leaveOutCancelledRequests() {
-            AttemptIdentifier first = hand("a");
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             bench.onLoop(() -> connections.cancel(first));
             copy.close();
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             expectNotRun(second, RefusalReason.COPY_UNREACHABLE);
         }
     }
@@ -281,17 +281,17 @@
          */
         @Test
         void repeatTheAnswerToAnEarlierRequest() {
-            AttemptIdentifier first = hand("a");
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(answer("a", "one"));
             expectGood(first, "one");
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             connection.readMessage();
             connection.write(answer("a", "one"));
             connection.write(answer("b", "two"));
             expectGood(second, "two");
-            hand("c");
+            send("c");
             copy.accept().readMessage();
         }
 
@@ -299,12 +299,12 @@
         @ParameterizedTest
         @ValueSource(strings = {"garbage", "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nContent-Length: 0\r\n\r\n"})
         void sendMoreThanTheAnswer(String more) {
-            AttemptIdentifier first = hand("a");
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(answer("a", "one") + more);
             expectGood(first, "one");
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             RawConnection other = copy.accept();
             other.readMessage();
             other.write(answer("b", "two"));
@@ -321,7 +321,7 @@
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
                 })
         void sendInvalidAnswers(String bytes) {
-            AttemptIdentifier attempt = hand("a");
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(bytes);
@@ -336,7 +336,7 @@
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n"
                 })
         void closeBeforeTheAnswerIsComplete(String bytes) {
-            AttemptIdentifier attempt = hand("a");
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(bytes);
@@ -346,7 +346,7 @@
 
         @Test
         void endAnAnswerWithoutLengthByClosing() {
-            AttemptIdentifier attempt = hand("a");
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write("HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\n\r\none");
@@ -360,7 +360,7 @@
          */
         @Test
         void resetAnAnswerWithoutLength() {
-            AttemptIdentifier attempt = hand("a");
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write("HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\n\r\none");
@@ -375,7 +375,7 @@
         @ParameterizedTest
         @ValueSource(strings = {"503 Full\r\nNot-Run: 1", "421 Misdirected\r\nInstance: x", "429 Many\r\nNot-Run: 1"})
         void ofTheCopyMeanThatItDidNotRun(String status) {
-            AttemptIdentifier attempt = hand("a");
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write("HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n");
@@ -385,7 +385,7 @@
         @Test
         void ofTheConnectionMeanThatItDidNotRun() {
             copy.close();
-            expectNotRun(hand("a"), RefusalReason.COPY_UNREACHABLE);
+            expectNotRun(send("a"), RefusalReason.COPY_UNREACHABLE);
         }
     }
 
@@ -394,7 +394,7 @@
 
         @Test
         void closesTheConnectionWithoutAnEvent() {
-            AttemptIdentifier attempt = hand("a");
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             bench.onLoop(() -> connections.cancel(attempt));
