--- a/node/src/main/java/org/carawaysill/node/NodeMain.java
+++ b/node/src/main/java/org/carawaysill/node/NodeMain.java
@@ -87,7 +87,7 @@
         }
         SignalStop.install(process);
         try {
-            process.mayEnd().join();
+            process.stopCompletion().join();
         } catch (CompletionException failure) {
             StateLog.fault(Step.ADMISSION, Optional.empty(), "the policy's thread ended: " + failure.getCause());
             System.exit(FAILED);
--- a/node/src/main/java/org/carawaysill/node/entry/EntryConnection.java
+++ b/node/src/main/java/org/carawaysill/node/entry/EntryConnection.java
@@ -88,7 +88,7 @@
             EntryExchange exchange = open.poll();
             server.removeExchange(exchange);
             if (exchange.answer().isEmpty()) {
-                server.handle(new FleetEvent.ExchangeClosed(exchange.identifier()));
+                server.emit(new FleetEvent.ExchangeClosed(exchange.identifier()));
             } else {
                 exchange.answer().get().release();
             }
@@ -194,7 +194,7 @@
         if (open.size() >= MAXIMUM_OPEN_EXCHANGES) {
             channel.ifPresent(context -> context.channel().config().setAutoRead(false));
         }
-        server.handle(new FleetEvent.RequestArrived(
+        server.emit(new FleetEvent.RequestArrived(
                 identifier,
                 read.requestName(),
                 read.host(),
--- a/node/src/main/java/org/carawaysill/node/entry/EntryServer.java
+++ b/node/src/main/java/org/carawaysill/node/entry/EntryServer.java
@@ -64,7 +64,7 @@
     private final Counters counters;
     private final DecisionLog log;
     private final Consumer<FleetEvent> events;
-    private final Map<ExchangeIdentifier, Open> exchanges = new HashMap<>();
+    private final Map<ExchangeIdentifier, OpenExchange> exchanges = new HashMap<>();
     private final Set<EntryConnection> connections = new HashSet<>();
     private ClientLimits limits = ClientLimits.DEFAULTS;
     private Optional<Channel> server = Optional.empty();
@@ -180,7 +180,7 @@
      * @param outcome the outcome of its request
      */
     public void answer(ExchangeIdentifier identifier, Outcome outcome) {
-        Open open = exchanges.get(identifier);
+        OpenExchange open = exchanges.get(identifier);
         if (open != null) {
             open.connection().answer(open.exchange(), outcome);
         }
@@ -233,7 +233,7 @@
         return new ExchangeIdentifier(0, ++lastIdentifier);
     }
 
-    void handle(FleetEvent event) {
+    void emit(FleetEvent event) {
         events.accept(event);
     }
 
@@ -246,7 +246,7 @@
     }
 
     void addExchange(EntryExchange exchange, EntryConnection connection) {
-        exchanges.put(exchange.identifier(), new Open(exchange, connection));
+        exchanges.put(exchange.identifier(), new OpenExchange(exchange, connection));
     }
 
     void removeExchange(EntryExchange exchange) {
@@ -265,5 +265,5 @@
     }
 
     /** An exchange that is not answered yet, with the connection for its answer. */
-    private record Open(EntryExchange exchange, EntryConnection connection) {}
+    private record OpenExchange(EntryExchange exchange, EntryConnection connection) {}
 }
--- a/node/src/main/java/org/carawaysill/node/fleet/DecisionLog.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/DecisionLog.java
@@ -89,7 +89,7 @@
     /**
      * Writes that a request was rejected before it was passed to the policy.
      *
-     * @param requestName the client's name for the request, or a placeholder if it was not read
+     * @param requestName the client's name for the request, empty if it was not read
      * @param kind what is wrong with the request
      */
     public void badRequest(String requestName, BadRequest kind) {
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetAdmin.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetAdmin.java
@@ -50,7 +50,7 @@
     public static final String NAME = "admin";
 
     private static final String METRICS_PATH = "/metrics";
-    private static final int LARGEST_REQUEST_BYTES = 4096;
+    private static final int MAXIMUM_REQUEST_BYTES = 4096;
 
     private final EventLoop eventLoop;
     private final Set<NetworkAddress> addresses = new LinkedHashSet<>();
@@ -88,7 +88,7 @@
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline()
                                 .addLast(new HttpServerCodec())
-                                .addLast(new HttpObjectAggregator(LARGEST_REQUEST_BYTES))
+                                .addLast(new HttpObjectAggregator(MAXIMUM_REQUEST_BYTES))
                                 .addLast(new RequestHandler());
                     }
                 })
@@ -114,7 +114,7 @@
     }
 
     /** Sets whether the node is reported as ready for clients. */
-    void ready(boolean nowReady) {
+    void setReady(boolean nowReady) {
         ready = nowReady;
     }
 
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
@@ -100,11 +100,11 @@
      * Starts all services.
      *
      * <p>Everything runs on the event loop, because two threads that run the same function of the C library at the same
-     * time can crash the process: while the platform patches the system calls in that function, the other thread
-     * resumes in the middle of an instruction, and the process ends by SIGILL (exit code 134) and loses its requests in
-     * flight. It occurred 0.1 to 0.2 s after about one start in 250, when the caller's thread read classes from files
-     * for one service while the services started before it were already running. A caller that only waits reads no
-     * files.
+     * time can crash the process: while the execution environment rewrites the instructions there that make system
+     * calls, the other thread resumes in the middle of an instruction. The process then ends by SIGILL (exit code 134)
+     * and loses its requests in flight. It occurred 0.1 to 0.2 s after about one start in 250, when the caller's thread
+     * read classes from files for one service while the services started before it were already running. A caller that
+     * only waits reads no files.
      *
      * @return completes when the node listens; fails with the reason if it can't
      */
@@ -180,7 +180,7 @@
     }
 
     private void showReadiness(boolean ready) {
-        admin.ready(ready);
+        admin.setReady(ready);
         if (!ready) {
             entry.beginStop();
         }
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetPeers.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetPeers.java
@@ -27,7 +27,7 @@
     public static final String NAME = "fleet-peers";
 
     /** Fits a body of the size that copies send, with its headers; a larger frame is rejected as not sent. */
-    private static final int LARGEST_FRAME_BYTES = 20 * 1024 * 1024;
+    private static final int MAXIMUM_FRAME_BYTES = 20 * 1024 * 1024;
 
     private static final Duration SHORTEST_REDIAL = Duration.ofMillis(50);
 
@@ -52,7 +52,7 @@
                 .port(port)
                 .eventLoop(eventLoop)
                 .limits(LinkLimits.builder()
-                        .maximumFrameBytes(LARGEST_FRAME_BYTES)
+                        .maximumFrameBytes(MAXIMUM_FRAME_BYTES)
                         .connectLimit(CONNECT_LIMIT)
                         .redial(SHORTEST_REDIAL, LONGEST_REDIAL)
                         .build())
@@ -97,7 +97,7 @@
 
     @Override
     public void connected(NodeName peer, long incarnation) {
-        faults.cleared(peer);
+        faults.clear(peer);
         loop.submit(new FleetEvent.PeerConnected(peer));
     }
 
@@ -118,6 +118,6 @@
 
     @Override
     public void fault(LinkFault fault) {
-        faults.note(fault);
+        faults.record(fault);
     }
 }
--- a/node/src/main/java/org/carawaysill/node/lifecycle/NodeProcess.java
+++ b/node/src/main/java/org/carawaysill/node/lifecycle/NodeProcess.java
@@ -122,7 +122,7 @@
         return registry.start().thenRun(() -> StateLog.change(Step.INGRESS, Optional.empty(), "serving"));
     }
 
-    /** Begins a planned stop: the node drains, and then {@link #mayEnd} completes. */
+    /** Begins a planned stop: the node drains, and then {@link #stopCompletion} completes. */
     public void orderStop() {
         plannedStop.orderStop();
     }
@@ -133,8 +133,8 @@
      * @return completes when a stop is ordered and every request is finished; fails if the policy's thread ended by an
      *     error, since no request finishes after that
      */
-    public CompletableFuture<Void> mayEnd() {
-        CompletableFuture<Void> end = plannedStop.mayEnd();
+    public CompletableFuture<Void> stopCompletion() {
+        CompletableFuture<Void> end = plannedStop.completion();
         registry.require(PolicyDuty.NAME, PolicyDuty.class).ended().whenComplete((ignored, failure) -> {
             if (failure != null) {
                 end.completeExceptionally(failure);
--- a/node/src/main/java/org/carawaysill/node/lifecycle/PlannedStop.java
+++ b/node/src/main/java/org/carawaysill/node/lifecycle/PlannedStop.java
@@ -71,7 +71,7 @@
      *
      * @return completes when a stop is ordered and every request is finished
      */
-    public CompletableFuture<Void> mayEnd() {
+    public CompletableFuture<Void> completion() {
         return stopOrdered.thenCombine(drained, (first, second) -> first);
     }
 }
--- a/node/src/main/java/org/carawaysill/node/lifecycle/SignalStop.java
+++ b/node/src/main/java/org/carawaysill/node/lifecycle/SignalStop.java
@@ -50,7 +50,7 @@
 
     private int await() {
         try {
-            process.mayEnd().get(LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+            process.stopCompletion().get(LIMIT.toMillis(), TimeUnit.MILLISECONDS);
             process.stop().get(LIMIT.toMillis(), TimeUnit.MILLISECONDS);
             StateLog.change(Step.DRAIN, Optional.empty(), "stopped");
             return STOPPED;
--- a/node/src/main/java/org/carawaysill/node/peer/LinkFaultLog.java
+++ b/node/src/main/java/org/carawaysill/node/peer/LinkFaultLog.java
@@ -24,7 +24,7 @@
      *
      * @param fault the fault
      */
-    public void note(LinkFault fault) {
+    public void record(LinkFault fault) {
         fault.peer().ifPresent(peer -> {
             if (latest.put(peer, fault.kind()) != fault.kind()) {
                 StateLog.fault(fault.step(), Optional.of(peer), fault.kind() + ": " + fault.detail());
@@ -37,7 +37,7 @@
      *
      * @param peer the other node
      */
-    public void cleared(NodeName peer) {
+    public void clear(NodeName peer) {
         latest.remove(peer);
     }
 }
--- a/node/src/main/java/org/carawaysill/node/peer/PeerAdapter.java
+++ b/node/src/main/java/org/carawaysill/node/peer/PeerAdapter.java
@@ -140,7 +140,7 @@
 
     @Override
     public void connected(NodeName peer, long incarnation) {
-        faults.cleared(peer);
+        faults.clear(peer);
         inbox.deliver(new Event.PeerConnected(peer, incarnation));
     }
 
@@ -209,6 +209,6 @@
 
     @Override
     public void fault(LinkFault fault) {
-        faults.note(fault);
+        faults.record(fault);
     }
 }
--- a/node/src/main/java/org/carawaysill/node/upstream/BrokenExchanges.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/BrokenExchanges.java
@@ -64,7 +64,7 @@
     }
 
     /** Removes and returns all exchanges once the check is decided. */
-    List<BrokenExchange> take() {
+    List<BrokenExchange> removeAll() {
         List<BrokenExchange> taken = List.copyOf(waiting);
         waiting.clear();
         others.clear();
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
@@ -305,15 +305,15 @@
     /** Ends an exchange because of an invalid answer; the copy is running. */
     private void endInvalid() {
         closeBroken();
-        takeLost().ifPresent(broken -> pool.ended(broken.exchange(), broken.outcome()));
+        removeLost().ifPresent(broken -> pool.ended(broken.exchange(), broken.outcome()));
     }
 
     /** Ends an exchange because its connection ended; the copy may have ended as well. */
     private void lost() {
-        takeLost().ifPresent(pool::broken);
+        removeLost().ifPresent(pool::broken);
     }
 
-    private Optional<BrokenExchange> takeLost() {
+    private Optional<BrokenExchange> removeLost() {
         Optional<BrokenExchange> lost = exchange.map(current -> new BrokenExchange(
                 current,
                 new Outcome.Unknown(
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
@@ -247,7 +247,7 @@
     /**
      * Handles an exchange whose connection ended, and checks whether the copy has ended as well.
      *
-     * <p>Without this classifier, a request that crashes its copy looks like one whose connection was reset, and is sent to
+     * <p>Without this check, a request that crashes its copy looks like one whose connection was reset, and is sent to
      * the next copy. The copy has ended if all its connections end at the same time. Its listening socket may stay open
      * for some milliseconds longer, or permanently if another process holds it; and a leaving copy closes that socket
      * long before it ends. A refused connection therefore means that the copy has ended only if no other connection was
@@ -311,7 +311,7 @@
     }
 
     private void endBroken() {
-        broken.take().forEach(exchange -> ended(exchange.exchange(), exchange.outcome()));
+        broken.removeAll().forEach(exchange -> ended(exchange.exchange(), exchange.outcome()));
     }
 
     private static boolean isRefused(ChannelFuture connected) {
@@ -323,7 +323,7 @@
      * accepted since then continue.
      */
     private void crashed() {
-        broken.take();
+        broken.removeAll();
         List<AttemptIdentifier> lost = new ArrayList<>();
         for (CopyExchange exchange : List.copyOf(running.values())) {
             if (isOnEndedConnection(exchange) && exchange.end()) {
--- a/node/src/test/java/org/carawaysill/node/entry/EntryServerTest.java
+++ b/node/src/test/java/org/carawaysill/node/entry/EntryServerTest.java
@@ -38,7 +38,7 @@
 
     private final LoopBench bench = new LoopBench();
     private final EntryServer server = new EntryServer(
-            bench.eventLoop(), new NetworkAddress("127.0.0.1", 0), DIALECT, 100_000, bench::take, bench.registry());
+            bench.eventLoop(), new NetworkAddress("127.0.0.1", 0), DIALECT, 100_000, bench::add, bench.registry());
 
     @BeforeEach
     void start() {
--- a/node/src/test/java/org/carawaysill/node/exchange/ExchangeServerTest.java
+++ b/node/src/test/java/org/carawaysill/node/exchange/ExchangeServerTest.java
@@ -144,7 +144,7 @@
         }
 
         @Test
-        void sayWhatTheRequestCameTo() {
+        void stateTheOutcome() {
             Optional<NodeName> peer = Optional.of(new NodeName("manifests-2"));
             Duration soon = Duration.ofMillis(1234);
             Approvals.verify(answerTo(new Outcome.Answered(
--- a/node/src/test/java/org/carawaysill/node/lifecycle/NodeProcessTest.java
+++ b/node/src/test/java/org/carawaysill/node/lifecycle/NodeProcessTest.java
@@ -89,10 +89,10 @@
             assertEquals(202, admin("POST", "/stop", "").statusCode());
             String refused = RawConnection.to(ingressPort()).write(REQUEST).readMessage();
             assertTrue(refused.contains("\"reason\":\"draining\""), refused);
-            assertFalse(node.mayEnd().isDone());
+            assertFalse(node.stopCompletion().isDone());
             atCopy.write(ANSWER);
             assertTrue(caller.readMessage().endsWith("bill"));
-            node.mayEnd().get(30, TimeUnit.SECONDS);
+            node.stopCompletion().get(30, TimeUnit.SECONDS);
         }
 
         @Test
@@ -100,10 +100,10 @@
             node.start().join();
             admin("POST", "/drain", "");
             while (!admin("GET", "/status", "").body().contains("\"drained\":true")) {
-                assertFalse(node.mayEnd().isDone());
+                assertFalse(node.stopCompletion().isDone());
             }
             node.orderStop();
-            node.mayEnd().get(30, TimeUnit.SECONDS);
+            node.stopCompletion().get(30, TimeUnit.SECONDS);
         }
     }
 
--- a/node/src/test/java/org/carawaysill/node/testing/LoopBench.java
+++ b/node/src/test/java/org/carawaysill/node/testing/LoopBench.java
@@ -39,7 +39,7 @@
         return registry;
     }
 
-    public void take(FleetEvent event) {
+    public void add(FleetEvent event) {
         events.add(event);
     }
 
--- a/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
+++ b/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
@@ -40,7 +40,7 @@
     private final LoopBench bench = new LoopBench();
     private final RawCopy copy = new RawCopy();
     private final CopyConnections connections =
-            new CopyConnections(bench.eventLoop(), copy.address(), DIALECT, bench::take, bench.registry());
+            new CopyConnections(bench.eventLoop(), copy.address(), DIALECT, bench::add, bench.registry());
     private long attempts;
 
     @AfterEach
