--- a/node/src/main/java/org/carawaysill/node/exchange/BodyCollector.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/BodyCollector.java
@@ -9,30 +9,30 @@
 /**
  * Collects the body of one request.
  *
- * <p>Invariants: never holds more than its limit; holds nothing once it has refused, and has then given back what it
- * took. Confined to the event loop.
+ * <p>Invariants: never holds more than its limit; after a refusal it holds no data and has released its reservation.
+ * Not thread safe: confined to the event loop.
  */
 final class BodyCollector {
 
-    /** What collecting came to. Immutable and thread safe. */
+    /** The result of collecting a body. Immutable and thread safe. */
     sealed interface Collected {
 
         /**
-         * The body is whole.
+         * The body is complete.
          *
-         * @param body the body, of which the length stays taken from the budget
+         * @param body the body, whose length stays reserved in the budget
          */
-        record Whole(Body body) implements Collected {}
+        record Complete(Body body) implements Collected {}
 
         /**
          * The body is refused.
          *
-         * @param kind why
+         * @param kind the reason
          */
         record Refused(BadRequest kind) implements Collected {}
 
-        /** The connection ended before the body did. */
-        record Gone() implements Collected {}
+        /** The connection ended before the body was complete. */
+        record Disconnected() implements Collected {}
     }
 
     private final int limit;
@@ -58,7 +58,7 @@
         }
         if (parts.length() + part.length() > limit) {
             refuse(new Collected.Refused(BadRequest.BODY_TOO_LARGE));
-        } else if (!budget.take(part.length())) {
+        } else if (!budget.reserve(part.length())) {
             refuse(new Collected.Refused(BadRequest.BODIES_FILL_MEMORY));
         } else {
             parts.appendBuffer(part);
@@ -66,18 +66,18 @@
     }
 
     void end() {
-        result.complete(new Collected.Whole(Body.wrap(parts.getBytes())));
+        result.complete(new Collected.Complete(Body.wrap(parts.getBytes())));
         parts = Buffer.buffer();
     }
 
     void fail(Throwable failure) {
         boolean closed = failure instanceof HttpClosedException;
-        refuse(closed ? new Collected.Gone() : new Collected.Refused(BadRequest.MALFORMED));
+        refuse(closed ? new Collected.Disconnected() : new Collected.Refused(BadRequest.MALFORMED));
     }
 
     private void refuse(Collected refusal) {
         if (!result.isDone()) {
-            budget.giveBack(parts.length());
+            budget.release(parts.length());
             parts = Buffer.buffer();
             result.complete(refusal);
         }
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetAdmin.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetAdmin.java
@@ -39,9 +39,10 @@
 import org.carawaysill.node.observation.Counters;
 
 /**
- * The HTTP servers for readiness and metrics, on the codec that the path of requests has loaded anyway.
+ * The HTTP servers for readiness and metrics. They use the same HTTP codec as the request path, so that no further
+ * classes need loading.
  *
- * <p>The methods of {@link Service} are thread safe, all else is confined to the event loop.
+ * <p>The methods of {@link Service} are thread safe; everything else is confined to the event loop.
  */
 public final class FleetAdmin implements Service {
 
@@ -49,7 +50,7 @@
     public static final String NAME = "admin";
 
     private static final String METRICS_PATH = "/metrics";
-    private static final int LARGEST_REQUEST_BYTES = 4096;
+    private static final int MAXIMUM_REQUEST_BYTES = 4096;
 
     private final EventLoop eventLoop;
     private final Set<NetworkAddress> addresses = new LinkedHashSet<>();
@@ -87,8 +88,8 @@
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline()
                                 .addLast(new HttpServerCodec())
-                                .addLast(new HttpObjectAggregator(LARGEST_REQUEST_BYTES))
-                                .addLast(new Answering());
+                                .addLast(new HttpObjectAggregator(MAXIMUM_REQUEST_BYTES))
+                                .addLast(new RequestHandler());
                     }
                 })
                 .bind(address.host(), address.port())
@@ -112,8 +113,8 @@
         return CompletableFuture.runAsync(() -> servers.forEach(Channel::close), eventLoop);
     }
 
-    /** Tells from now on whether the node takes clients. */
-    void ready(boolean nowReady) {
+    /** Sets whether the node is reported as ready for clients. */
+    void setReady(boolean nowReady) {
         ready = nowReady;
     }
 
@@ -146,8 +147,8 @@
         return page.toByteArray();
     }
 
-    /** Answers the requests of one connection. Confined to the event loop. */
-    private final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Answers the requests of one connection. Not thread safe: confined to the event loop. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
--- a/node/src/main/java/org/carawaysill/node/policy/EffectDispatcher.java
+++ b/node/src/main/java/org/carawaysill/node/policy/EffectDispatcher.java
@@ -11,7 +11,7 @@
 import org.carawaysill.node.platform.PlatformReader;
 import org.carawaysill.policy.effect.Effect;
 
-/** Gives each effect to the adapter that it is for. Thread safe, as the adapters are; never blocks. */
+/** Passes each effect to its adapter. Thread safe, as the adapters are; never blocks. */
 final class EffectDispatcher {
 
     private final ExchangeTable exchanges;
@@ -40,7 +40,7 @@
 
     void dispatch(Effect effect) {
         switch (effect) {
-            case Effect.HandToCopy hand -> copy.hand(hand);
+            case Effect.HandToCopy hand -> copy.send(hand);
             case Effect.CancelAtCopy cancel -> copy.cancel(cancel.attempt());
             case Effect.AnswerExchange answer -> exchanges.answer(answer.exchange(), answer.outcome());
             case Effect.SendToPeer send -> peers.send(send.peer(), send.message());
--- a/node/src/test/java/org/carawaysill/node/copy/CopyClientTest.java
+++ b/node/src/test/java/org/carawaysill/node/copy/CopyClientTest.java
@@ -47,15 +47,15 @@
 
     private final RawCopy copy = new RawCopy();
 
-    /** Leaps of the clock, one for each reading. */
-    private final Deque<Long> leaps = new ArrayDeque<>();
+    /** Offsets that are added to the clock, one per reading. */
+    private final Deque<Long> clockOffsets = new ArrayDeque<>();
 
     private final CopyClient client = new CopyClient(
             new CopyClientSettings(bench.vertx(), bench.eventLoop(), copy.address(), SIZES, this::clock),
             bench.registry());
 
     private long clock() {
-        return System.nanoTime() + Optional.ofNullable(leaps.poll()).orElse(0L);
+        return System.nanoTime() + Optional.ofNullable(clockOffsets.poll()).orElse(0L);
     }
 
     @AfterEach
@@ -65,19 +65,19 @@
         bench.close();
     }
 
-    private void hand(AttemptIdentifier attempt, String method) {
-        hand(attempt, method, "gate");
+    private void send(AttemptIdentifier attempt, String method) {
+        send(attempt, method, "gate");
     }
 
-    private void hand(AttemptIdentifier attempt, String method, String desk) {
+    private void send(AttemptIdentifier attempt, String method, String desk) {
         RequestContent content = new RequestContent(
                 method, "/bills/7?full=true", List.of(new Header("X-Desk", desk)), Body.ofText("hello"));
-        client.hand(new Effect.HandToCopy(
+        client.send(new Effect.HandToCopy(
                 attempt, content, System.nanoTime() + Duration.ofMinutes(1).toNanos()));
     }
 
-    private RawConnection handAndAccept(AttemptIdentifier attempt) {
-        hand(attempt, "POST");
+    private RawConnection sendAndAccept(AttemptIdentifier attempt) {
+        send(attempt, "POST");
         RawConnection connection = copy.accept();
         connection.readMessage();
         return connection;
@@ -114,7 +114,7 @@
 
         @Test
         void passesTheRequestWithItsAttemptAndDeadline() {
-            hand(FIRST, "POST");
+            send(FIRST, "POST");
             String request = copy.accept().readMessage();
             assertTrue(request.startsWith("POST /bills/7?full=true HTTP/1.1\r\n"), request);
             assertTrue(request.contains("X-Desk: gate\r\n"), request);
@@ -124,12 +124,13 @@
         }
 
         /*
-         * A caller is told "not run" although its request ran: the copy passed on the mark of a call that it made
-         * itself. The node takes such marks, and what concerns one connection only, off each answer of a copy.
+         * A caller received "not run" although its request ran: the copy forwarded the outcome field of a call that it
+         * had made itself. Checks that the node removes the project's fields and hop-by-hop fields from each answer of
+         * a copy.
          */
         @Test
-        void takesMarksAndConnectionHeadersOffTheAnswer() {
-            handAndAccept(FIRST)
+        void removesOutcomeAndHopByHopFieldsFromTheAnswer() {
+            sendAndAccept(FIRST)
                     .write("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 2\r\nCarawaysill-Outcome: not-run\r\n"
                             + "Connection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nX-Kept: 1\r\n\r\nok");
             AnswerContent answer = answerOf(FIRST);
@@ -140,7 +141,7 @@
 
         @Test
         void keepsTheLengthThatAnAnswerToHeadStates() {
-            hand(FIRST, "HEAD");
+            send(FIRST, "HEAD");
             RawConnection connection = copy.accept();
             connection.readHead();
             connection.write("HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
@@ -150,9 +151,9 @@
 
         @Test
         void usesAConnectionAgainAfterACompleteAnswer() {
-            RawConnection connection = handAndAccept(FIRST).write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
+            RawConnection connection = sendAndAccept(FIRST).write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
             assertEquals("a", textOf(answerOf(FIRST)));
-            hand(SECOND, "POST");
+            send(SECOND, "POST");
             assertTrue(connection.readMessage().contains(SECOND.toString()));
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nb\r\n0\r\n\r\n");
             assertEquals("b", textOf(answerOf(SECOND)));
@@ -163,33 +164,33 @@
     class NotRun {
 
         @Test
-        void isSaidWhenNothingListens() {
+        void isReportedIfTheCopyIsUnreachable() {
             copy.close();
-            hand(FIRST, "POST");
+            send(FIRST, "POST");
             expectNotRun(FIRST, RefusalReason.COPY_UNREACHABLE);
         }
 
         /*
-         * A clerk is told that a request was given up, and it runs all the same: the process was paused between the
-         * decision and the write and woke up after the deadline. The clock leaps while the connection is opened; the
-         * copy must see no byte.
+         * A clerk was informed that a request was given up, but it ran nevertheless: the process was paused between the
+         * decision and the write and resumed after the deadline. Here the clock jumps while the connection is opened;
+         * the copy must receive no byte.
          */
         @Test
-        void isSaidWhenThePauseEndsAfterTheDeadline() {
-            leaps.addAll(List.of(0L, Duration.ofMinutes(2).toNanos()));
-            hand(FIRST, "POST");
+        void isReportedIfAPauseEndsAfterTheDeadline() {
+            clockOffsets.addAll(List.of(0L, Duration.ofMinutes(2).toNanos()));
+            send(FIRST, "POST");
             expectNotRun(FIRST, RefusalReason.DEADLINE);
             assertEquals("", copy.accept().readToEnd());
         }
 
         /*
-         * A slot of the copy is never free again: a request that HTTP can't carry made the client fail in the middle, and
-         * nobody was told of its end.
+         * A slot of the copy was never freed: a request that HTTP can't represent made the client fail before the
+         * write, and its end was not reported.
          */
         @ParameterizedTest
         @CsvSource({"BAD METHOD, gate", "POST, 'gate\r\nX-Forged: 1'"})
-        void isSaidOfARequestThatHttpCannotCarry(String method, String desk) {
-            hand(FIRST, method, desk);
+        void isReportedForARequestThatHttpCannotRepresent(String method, String desk) {
+            send(FIRST, method, desk);
             expectNotRun(FIRST, RefusalReason.BAD_REQUEST);
         }
     }
@@ -198,14 +199,14 @@
     class Unknown {
 
         @Test
-        void isSaidWhenTheCopyClosesWithoutAnAnswer() {
-            handAndAccept(FIRST).close();
+        void isReportedIfTheCopyClosesWithoutAnAnswer() {
+            sendAndAccept(FIRST).close();
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
         }
 
         /*
-         * A forwarder reads half a manifest as if it were whole: the copy died in the middle of its answer, or the
-         * answer states no length at all, so that its end can't be told from a death.
+         * A forwarder read half a manifest as if it were complete: the copy died in the middle of its answer, or the
+         * answer states no length at all, so that its end can't be distinguished from a crash.
          */
         @ParameterizedTest
         @ValueSource(
@@ -216,8 +217,8 @@
                     "X-No-Length: 1\r\n\r\nshort",
                     "Content-Length: 5000\r\n\r\n"
                 })
-        void isSaidOfATruncatedAnswer(String rest) {
-            RawConnection connection = handAndAccept(FIRST).write("HTTP/1.1 200 OK\r\n" + rest);
+        void isReportedForATruncatedAnswer(String rest) {
+            RawConnection connection = sendAndAccept(FIRST).write("HTTP/1.1 200 OK\r\n" + rest);
             if (rest.contains("5000")) {
                 connection.write("x".repeat(5000));
             }
@@ -226,8 +227,8 @@
         }
 
         @Test
-        void isSaidOfAnAnswerThatNamesAnotherAttempt() {
-            RawConnection connection = handAndAccept(FIRST)
+        void isReportedForAnAnswerThatNamesAnotherAttempt() {
+            RawConnection connection = sendAndAccept(FIRST)
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nCarawaysill-Attempt: " + SECOND + "\r\n\r\n");
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
             assertEquals("", connection.readToEnd());
@@ -235,8 +236,8 @@
         }
 
         @Test
-        void isSaidOfAnAnswerThatIsNoHttp() {
-            handAndAccept(FIRST).write("220 mail.example ESMTP\r\n\r\n");
+        void isReportedForAnAnswerThatIsNotHttp() {
+            sendAndAccept(FIRST).write("220 mail.example ESMTP\r\n\r\n");
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
         }
     }
@@ -245,27 +246,27 @@
     class OwnAnswer {
 
         /*
-         * An agent sees another agent's bill: the first request was given up, its answer came late, and the next
-         * request on the same connection took it for its own. A cancelled exchange closes its connection.
+         * An agent saw another agent's bill: the first request was given up, its answer came late, and was matched to
+         * the next request on the same connection. Checks that a cancelled exchange closes its connection.
          */
         @Test
-        void isNotTheLateOneOfACancelledExchange() {
-            RawConnection connection = handAndAccept(FIRST);
+        void isNotTheLateAnswerOfACancelledExchange() {
+            RawConnection connection = sendAndAccept(FIRST);
             client.cancel(FIRST);
             expectUnknown(FIRST, UnknownReason.COPY_LOST);
             assertEquals("", connection.readToEnd());
-            handAndAccept(SECOND).write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
+            sendAndAccept(SECOND).write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
             assertEquals("own", textOf(answerOf(SECOND)));
         }
 
         /*
-         * The same, but the copy answers one request twice; the second answer lies in the connection when the next
-         * request is to be written. That one may be told "unknown", when it meets the connection as it closes, but never
-         * gets the stray answer.
+         * The same, but the copy answers one request twice, and the second answer is already received when the next
+         * request is to be written. That request may end as unknown if the connection is being closed at that time, but
+         * never gets the stray answer.
          */
         @Test
-        void isNotTheSecondOneToTheRequestBefore() {
-            handAndAccept(FIRST)
+        void isNotTheSecondAnswerToThePreviousRequest() {
+            sendAndAccept(FIRST)
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
                             + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray");
             assertEquals("one", textOf(answerOf(FIRST)));
@@ -273,7 +274,7 @@
             Outcome outcome = new Outcome.Unknown(UnknownReason.COPY_LOST, Step.COPY_WAIT, Optional.empty());
             for (int i = 0; outcome instanceof Outcome.Unknown; i++) {
                 AttemptIdentifier attempt = new AttemptIdentifier(3, i);
-                hand(attempt, "POST");
+                send(attempt, "POST");
                 outcome = outcomeOf(attempt);
             }
             assertEquals(
@@ -288,9 +289,9 @@
         }
 
         @Test
-        void staysWithOneOfTwoHandoversOfAnAttempt() {
-            RawConnection connection = handAndAccept(FIRST);
-            hand(FIRST, "POST");
+        void isGivenOnceIfAnAttemptIsSentTwice() {
+            RawConnection connection = sendAndAccept(FIRST);
+            send(FIRST, "POST");
             AdapterBench.await(() -> bench.counted("breaches", "at_most_once") == 1);
             connection.write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none");
             assertEquals("one", textOf(answerOf(FIRST)));
--- a/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
+++ b/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
@@ -40,7 +40,7 @@
     private final LoopBench bench = new LoopBench();
     private final RawCopy copy = new RawCopy();
     private final CopyConnections connections =
-            new CopyConnections(bench.eventLoop(), copy.address(), DIALECT, bench::take, bench.registry());
+            new CopyConnections(bench.eventLoop(), copy.address(), DIALECT, bench::add, bench.registry());
     private long attempts;
 
     @AfterEach
@@ -49,11 +49,11 @@
         copy.close();
     }
 
-    private AttemptIdentifier hand(String name) {
-        return hand(name, Duration.ofSeconds(20));
+    private AttemptIdentifier send(String name) {
+        return send(name, Duration.ofSeconds(20));
     }
 
-    private AttemptIdentifier hand(String name, Duration patience) {
+    private AttemptIdentifier send(String name, Duration timeout) {
         AttemptIdentifier attempt = new AttemptIdentifier(0, ++attempts);
         FleetEffect.HandToCopy effect = new FleetEffect.HandToCopy(
                 attempt,
@@ -66,8 +66,8 @@
                         "/bills/" + name,
                         List.of(new Header("Authorization", "Token secret"), new Header("organisation", "forged")),
                         Body.ofText("body of " + name)),
-                System.nanoTime() + patience.toNanos());
-        bench.onLoop(() -> connections.hand(effect));
+                System.nanoTime() + timeout.toNanos());
+        bench.onLoop(() -> connections.send(effect));
         return attempt;
     }
 
@@ -99,10 +99,10 @@
     @Nested
     class Requests {
 
-        /** Guards against a copy that is shown a key, or an organisation that the client made up. */
+        /** Guards against passing to a copy a key, or an organisation that the client made up. */
         @Test
-        void nameTheOrganisationAndNeverAKey() {
-            hand("a");
+        void containTheOrganisationAndNeverAKey() {
+            send("a");
             String request = copy.accept().readMessage();
             assertTrue(request.contains("Organisation: agents\r\n"), request);
             assertFalse(request.contains("forged"), request);
@@ -110,8 +110,8 @@
         }
 
         @Test
-        void nameTheCopyTheCallerAndTheTimeLeft() {
-            AttemptIdentifier attempt = hand("a");
+        void containTheCopyTheCallerAndTheRemainingTime() {
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             String request = connection.readMessage();
             assertTrue(request.startsWith("POST /bills/a HTTP/1.1\r\n"), request);
@@ -125,25 +125,25 @@
         }
 
         @Test
-        void shareAConnectionOneAfterTheOther() {
-            AttemptIdentifier first = hand("a");
+        void reuseAConnection() {
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(answer("a", "one"));
             expectGood(first, "one");
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             connection.readMessage();
             connection.write(answer("b", "two"));
             expectGood(second, "two");
         }
 
         /*
-         * A process is paused between the decision and the write, and wakes up after its client has left. What it writes
-         * then would run for nobody.
+         * A process is paused between the decision and the write, and resumes after its client has left. A request
+         * written then would run for nobody.
          */
         @Test
         void areNotWrittenAfterTheirDeadline() {
-            expectNotRun(hand("a", Duration.ofMillis(-1)), RefusalReason.DEADLINE);
+            expectNotRun(send("a", Duration.ofMillis(-1)), RefusalReason.DEADLINE);
         }
     }
 
@@ -155,23 +155,24 @@
         private AttemptIdentifier secondOfTwo;
         private RawConnection secondConnection;
 
-        /** Lets the copy work on two requests, each on a connection of its own. */
-        private void handTwo() {
-            firstOfTwo = hand("a");
+        /** Sends two requests to the copy, each on its own connection. */
+        private void sendTwo() {
+            firstOfTwo = send("a");
             firstConnection = copy.accept();
             firstConnection.readMessage();
-            secondOfTwo = hand("b");
+            secondOfTwo = send("b");
             secondConnection = copy.accept();
             secondConnection.readMessage();
         }
 
         /*
-         * A copy's process ends under two requests. Each used to be told as an answer that was lost, as after a reset, and
-         * was handed to the next copy; of two that ended the copy, nobody could say that they had been there together.
+         * A copy's process ends while it runs two requests. Each of them used to be reported as a lost answer, as after
+         * a reset, and was sent to the next copy; of two requests that crashed the copy, it was unknown that they had
+         * been in flight together.
          */
         @Test
-        void areToldWithAllThatWasAtTheCopy() {
-            handTwo();
+        void areReportedWithAllRequestsInFlight() {
+            sendTwo();
             copy.close();
             firstConnection.close();
             secondConnection.close();
@@ -181,26 +182,27 @@
         }
 
         /*
-         * A copy's process ends while its listening socket is still open, as it is for some milliseconds, or for good where a
-         * supervisor holds it. A dialled connection is taken, and the crash would pass for a reset of each connection.
+         * A copy's process ends while its listening socket is still open, which lasts for some milliseconds, or
+         * permanently if a supervisor holds it. A new connection is accepted, and the crash would look like a reset of
+         * each connection.
          */
         @Test
-        void areSeenAlsoWhileTheAddressStillTakesConnections() {
-            handTwo();
+        void areDetectedWhileTheAddressStillAcceptsConnections() {
+            sendTwo();
             firstConnection.close();
             secondConnection.close();
             FleetEvent.CopyCrashed crashed = bench.next(FleetEvent.CopyCrashed.class);
             assertEquals(Set.of(firstOfTwo, secondOfTwo), Set.copyOf(crashed.attempts()));
         }
 
-        /** Another process listens at once: what it has taken goes on. */
+        /** Another process listens at once; the requests that it has accepted continue. */
         @Test
-        void doNotEndWhatTheNextProcessHasTaken() {
-            handTwo();
+        void doNotEndRequestsOfTheNextProcess() {
+            sendTwo();
             firstConnection.close();
             secondConnection.close();
             copy.accept();
-            AttemptIdentifier third = hand("c");
+            AttemptIdentifier third = send("c");
             RawConnection thirdConnection = copy.accept();
             thirdConnection.readMessage();
             FleetEvent.CopyCrashed crashed = bench.next(FleetEvent.CopyCrashed.class);
@@ -209,20 +211,22 @@
             expectGood(third, "three");
         }
 
-        /** One of two connections ends: the copy works on at the other. */
+        /** One of two connections ends, and the copy continues on the other one. */
         @Test
-        void areNotTakenForOneOfSeveralConnections() {
-            handTwo();
+        void areNotReportedWhenOneOfSeveralConnectionsEnds() {
+            sendTwo();
             firstConnection.close();
             expectUnknown(firstOfTwo);
             secondConnection.write(answer("b", "two"));
             expectGood(secondOfTwo, "two");
         }
 
-        /** Guards against work that is cut at a leaving copy, which listens no more, since one other connection ends. */
+        /**
+         * A leaving copy has stopped listening and one of its connections ends; its other requests must not be ended.
+         */
         @Test
-        void areNotTakenForTheEndOfListening() {
-            handTwo();
+        void areNotReportedWhenTheCopyStopsListening() {
+            sendTwo();
             copy.close();
             firstConnection.close();
             expectUnknown(firstOfTwo);
@@ -230,10 +234,10 @@
             expectGood(secondOfTwo, "two");
         }
 
-        /** Guards against a request that is blamed for a crash when a leaving copy resets one connection of several. */
+        /** Guards against blaming a request for a crash when a leaving copy resets one of several connections. */
         @Test
-        void areNotConcludedWhileAnIdleConnectionIsOpen() {
-            handTwo();
+        void areNotReportedWhileAnIdleConnectionIsOpen() {
+            sendTwo();
             secondConnection.write(answer("b", "two"));
             expectGood(secondOfTwo, "two");
             copy.close();
@@ -241,29 +245,29 @@
             expectUnknown(firstOfTwo);
         }
 
-        /** A copy that still takes connections has not ended; the connection that showed it carries the next request. */
+        /** A copy that still accepts connections has not ended; the probe's connection carries the next request. */
         @Test
-        void areNotTakenForAConnectionThatEnds() {
-            AttemptIdentifier first = hand("a");
+        void areNotReportedWhenTheCopyAcceptsANewConnection() {
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.close();
             expectUnknown(first);
             RawConnection other = copy.accept();
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             other.readMessage();
             other.write(answer("b", "two"));
             expectGood(second, "two");
         }
 
         @Test
-        void tellNothingOfWhatWasCancelledMeanwhile() {
-            AttemptIdentifier first = hand("a");
+        void leaveOutCancelledRequests() {
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             bench.onLoop(() -> connections.cancel(first));
             copy.close();
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             expectNotRun(second, RefusalReason.COPY_UNREACHABLE);
         }
     }
@@ -272,35 +276,35 @@
     class FaultyCopies {
 
         /*
-         * A copy sends a second answer to a request, late: it arrives where the answer to the next request is due. Teller
-         * B would read teller A's balance.
+         * A copy sends a second, late answer to a request while the answer to the next request is due. Teller B would
+         * read teller A's balance.
          */
         @Test
-        void sendTheAnswerToAnEarlierRequestAgain() {
-            AttemptIdentifier first = hand("a");
+        void repeatTheAnswerToAnEarlierRequest() {
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(answer("a", "one"));
             expectGood(first, "one");
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             connection.readMessage();
             connection.write(answer("a", "one"));
             connection.write(answer("b", "two"));
             expectGood(second, "two");
-            hand("c");
+            send("c");
             copy.accept().readMessage();
         }
 
-        /** Bytes behind a complete answer belong to no request, so the connection takes no further one. */
+        /** Bytes after a complete answer belong to no request, so the connection carries no further one. */
         @ParameterizedTest
         @ValueSource(strings = {"garbage", "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nContent-Length: 0\r\n\r\n"})
         void sendMoreThanTheAnswer(String more) {
-            AttemptIdentifier first = hand("a");
+            AttemptIdentifier first = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(answer("a", "one") + more);
             expectGood(first, "one");
-            AttemptIdentifier second = hand("b");
+            AttemptIdentifier second = send("b");
             RawConnection other = copy.accept();
             other.readMessage();
             other.write(answer("b", "two"));
@@ -316,8 +320,8 @@
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\none",
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
                 })
-        void sendWhatIsNoAnswer(String bytes) {
-            AttemptIdentifier attempt = hand("a");
+        void sendInvalidAnswers(String bytes) {
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(bytes);
@@ -331,8 +335,8 @@
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nContent-Length: 30\r\n\r\none",
                     "HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n"
                 })
-        void endBeforeTheAnswerDoes(String bytes) {
-            AttemptIdentifier attempt = hand("a");
+        void closeBeforeTheAnswerIsComplete(String bytes) {
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write(bytes);
@@ -341,8 +345,8 @@
         }
 
         @Test
-        void endAnAnswerWithoutLengthWithTheirConnection() {
-            AttemptIdentifier attempt = hand("a");
+        void endAnAnswerWithoutLengthByClosing() {
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write("HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\n\r\none");
@@ -351,12 +355,12 @@
         }
 
         /*
-         * A copy's connection is reset in the middle of an answer without length. The client would take the half of a
+         * A copy's connection is reset in the middle of an answer without length. The client would take half of a
          * statement for the whole.
          */
         @Test
         void resetAnAnswerWithoutLength() {
-            AttemptIdentifier attempt = hand("a");
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write("HTTP/1.1 200 OK\r\nName: a\r\nSeal: s\r\n\r\none");
@@ -371,7 +375,7 @@
         @ParameterizedTest
         @ValueSource(strings = {"503 Full\r\nNot-Run: 1", "421 Misdirected\r\nInstance: x", "429 Many\r\nNot-Run: 1"})
         void ofTheCopyMeanThatItDidNotRun(String status) {
-            AttemptIdentifier attempt = hand("a");
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             connection.write("HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n");
@@ -381,7 +385,7 @@
         @Test
         void ofTheConnectionMeanThatItDidNotRun() {
             copy.close();
-            expectNotRun(hand("a"), RefusalReason.COPY_UNREACHABLE);
+            expectNotRun(send("a"), RefusalReason.COPY_UNREACHABLE);
         }
     }
 
@@ -389,8 +393,8 @@
     class Cancelling {
 
         @Test
-        void endsTheConnectionAndTellsNothing() {
-            AttemptIdentifier attempt = hand("a");
+        void closesTheConnectionWithoutAnEvent() {
+            AttemptIdentifier attempt = send("a");
             RawConnection connection = copy.accept();
             connection.readMessage();
             bench.onLoop(() -> connections.cancel(attempt));
