--- a/policy/src/main/java/org/carawaysill/policy/message/ChangesSince.java
+++ b/policy/src/main/java/org/carawaysill/policy/message/ChangesSince.java
@@ -2,20 +2,20 @@
 
 import org.carawaysill.model.fleet.Revision;
 
-/** From where on a node asks another one for what changed there. Immutable and thread safe. */
+/** The starting point of a request for another node's changes. Immutable and thread safe. */
 public sealed interface ChangesSince {
 
     /**
-     * Those that came after the other node told its changes last.
+     * The changes after those that the other node sent last.
      *
-     * @param position up to which of the other node's changes all are known; 0 for all that there are
+     * @param position the other node's position up to which all its changes are known; 0 to request all changes
      */
     record AtPosition(long position) implements ChangesSince {}
 
     /**
-     * Those at a later revision of the platform, or in a later era.
+     * The changes at a later revision of the platform, or in a later era.
      *
-     * @param revision up to which all are known
+     * @param revision the revision up to which all changes are known
      */
     record AtRevision(Revision revision) implements ChangesSince {}
 }
--- a/policy/src/main/java/org/carawaysill/policy/message/OrganisationUse.java
+++ b/policy/src/main/java/org/carawaysill/policy/message/OrganisationUse.java
@@ -3,12 +3,12 @@
 import org.carawaysill.model.identity.OrganisationName;
 
 /**
- * How many requests of an organisation were admitted within the last window of allowances.
+ * The number of an organisation's requests that were admitted within the last allowance window.
  *
  * <p>Invariant: not negative. Immutable and thread safe.
  *
  * @param organisation the organisation
- * @param admitted requests that one node, or several together, admitted
+ * @param admitted the number of requests admitted by one node, or by several together
  */
 public record OrganisationUse(OrganisationName organisation, int admitted) {
 
--- a/policy/src/main/java/org/carawaysill/policy/message/PeerMessage.java
+++ b/policy/src/main/java/org/carawaysill/policy/message/PeerMessage.java
@@ -18,23 +18,24 @@
 import org.carawaysill.model.request.RequestContent;
 
 /**
- * What nodes say to each other. Times travel as remaining durations, since nodes share no monotonic clock. Immutable and
- * thread safe.
+ * A message between nodes. Points in time are sent as remaining durations, since nodes share no monotonic clock.
+ * Immutable and thread safe.
  */
 public sealed interface PeerMessage {
 
     /**
-     * A request to be handed to the receiver's local copy, or to be passed on by the receiver as its holder.
+     * A request that the receiver sends to its local copy, or forwards as the request's holder.
      *
      * @param attempt this attempt, echoed in the answer
      * @param request the caller's request over all its attempts
      * @param service the receiver's service
-     * @param operation the operation's name as the sender classified it
-     * @param caller who asked at the entry
-     * @param priority the place in the order of refusal, set at the entry
-     * @param idempotent whether running it twice does no harm
+     * @param operation the name of the operation, as classified by the sender
+     * @param caller the caller at the entry
+     * @param priority the place in the order of refusal, assigned at the entry
+     * @param idempotent whether the request may run more than once
      * @param key the idempotency key, if there is one
-     * @param retryCredits retries that the receiver may spend on it and below; what is not spent comes back
+     * @param retryCredits the retries that the receiver and the services it calls may spend; unspent credits are
+     *     returned
      * @param remainingNanos time left until the deadline
      * @param depth hops from the entry, which is 0
      * @param purpose what the receiver is asked to do
@@ -56,11 +57,11 @@
             RequestContent content)
             implements PeerMessage {}
 
-    /** What the receiver of a request is asked to do. */
+    /** The action that the sender of a request asks for. */
     enum Purpose {
-        /** Hand it to the local copy. */
+        /** Send it to the local copy. */
         RUN,
-        /** Decide as its holder: run it here or at another copy, at most once. */
+        /** Decide as its holder: run it at the local or another copy, at most once. */
         HOLD
     }
 
@@ -68,10 +69,10 @@
      * The answer to a {@link PeerRequest}.
      *
      * @param attempt the attempt answered
-     * @param outcome what it came to
-     * @param unspentCredits retry credits that come back
-     * @param load the answering node's load
-     * @param cuts the admission cut of each service at and below the answering node
+     * @param outcome its outcome
+     * @param unspentCredits the retry credits that are returned
+     * @param load the load of the answering node
+     * @param cuts the admission cut of the answering node's service and of each service that it calls, directly or not
      */
     record PeerAnswer(
             AttemptIdentifier attempt, Outcome outcome, int unspentCredits, LoadReport load, List<ServiceCut> cuts)
@@ -89,15 +90,14 @@
      */
     record CancelAttempt(AttemptIdentifier attempt) implements PeerMessage {}
 
-    /** The sender is leaving: send it no new work. */
+    /** The sender is draining and must not receive new work. */
     record DrainNotice() implements PeerMessage {}
 
-    /**
-     * The sender lives.
+    /** Reports that the sender is running, with its load and configuration versions.
      *
-     * @param sequence rises by one with each heartbeat of this process
+     * @param sequence the heartbeat's number, which rises by one with each heartbeat of the sender's process
      * @param load the sender's load
-     * @param versions the configuration versions that the sender has in force
+     * @param versions the configuration versions in force at the sender
      */
     record Heartbeat(long sequence, LoadReport load, Map<ServiceName, Long> versions) implements PeerMessage {
 
@@ -107,10 +107,10 @@
     }
 
     /**
-     * One node of a roster; a VM replaced under the same name at another address is another member.
+     * A member of a roster. A VM that was replaced under the same name at another address counts as another member.
      *
      * @param node the node's name
-     * @param host the IP number of its VM
+     * @param host the IP address of its VM
      * @param port the TCP port at which it listens for other nodes
      */
     record RosterMember(NodeName node, String host, int port) {}
@@ -131,18 +131,19 @@
     /**
      * Asks for a lease under which the sender may act as holder.
      *
-     * @param service the service whose roster it concerns
-     * @param requester the sender as its settings describe it
+     * @param service the service of the roster
+     * @param requester the sender as described by its settings
      * @param incarnation the start time of the sender's process in milliseconds since 1970
      * @param wallMillis the sender's wall clock at sending, since 1970
      * @param sequence echoed in the reply
-     * @param durationNanos the length asked for, counted by the sender from before it sent this; zero gives the lease back
+     * @param durationNanos the requested length, which the sender counts from before sending this; zero returns the
+     *     lease
      * @param rosterVersion the version of the roster under which the sender would act
      * @param rosterDigest the digest of that roster's members
-     * @param previousDigest the digest of the members under which the sender acted before, 0 for none
-     * @param closedBelow rosters of lower versions can give no lease any more
-     * @param closedForNanos for how long that has been so
-     * @param rosters the rosters that the receiver may not know; empty in steady state
+     * @param previousDigest the digest of the members of the roster under which the sender acted before, 0 for none
+     * @param closedBelow the lowest roster version under which leases can still be granted
+     * @param closedForNanos how long that bound has been in force
+     * @param rosters rosters that may be unknown to the receiver; empty in steady state
      */
     record LeaseRequest(
             ServiceName service,
@@ -164,15 +165,15 @@
         }
     }
 
-    /** What a granter decided. */
+    /** The decision of a granter. */
     enum LeaseVerdict {
-        /** The sender may act for all work that the roster asked for gives it. */
+        /** The sender may act for all work that the requested roster assigns to it. */
         GRANTED,
-        /** The sender may act for the work that both the roster asked for and its previous one give it. */
+        /** The sender may act for the work that both the requested and its previous roster assign to it. */
         GRANTED_FOR_UNMOVED,
-        /** No lease now: another one is in force, a newer roster is known, or the granter just started. */
+        /** No lease for now: another lease is in force, a newer roster is known, or the granter has just started. */
         REFUSED,
-        /** No lease until the granter has been told the members of the roster. */
+        /** No lease until the granter has received the members of the roster. */
         UNKNOWN_ROSTER,
         /** No lease while the wall clocks of the sender and of the granter are too far apart. */
         CLOCKS_APART
@@ -182,16 +183,17 @@
      * The reply to a {@link LeaseRequest}.
      *
      * @param service the service
-     * @param granter the sender as its settings describe it
+     * @param granter the sender as described by its settings
      * @param sequence the request's sequence
-     * @param verdict what was decided
-     * @param recovering whether the sender may have forgotten promises that it made before a restart
-     * @param freeNanos for how long the sender has had no lease in force that excludes a full grant
-     * @param freeForUnmovedNanos for how long it has had none that excludes a grant for unmoved work
-     * @param highestVersion the highest roster version that the sender knows of
-     * @param closedBelow rosters of lower versions can give no lease any more
-     * @param closedForNanos for how long that has been so
-     * @param rosters the rosters that the receiver may not know; empty in steady state
+     * @param verdict the decision
+     * @param recovering whether the sender may have lost promises that it made before a restart
+     * @param freeNanos how long no lease has been in force at the sender that excludes a full grant
+     * @param freeForUnmovedNanos how long no lease has been in force at the sender that excludes a grant for unmoved
+     *     work
+     * @param highestVersion the highest roster version known to the sender
+     * @param closedBelow the lowest roster version under which leases can still be granted
+     * @param closedForNanos how long that bound has been in force
+     * @param rosters rosters that may be unknown to the receiver; empty in steady state
      */
     record LeaseReply(
             ServiceName service,
@@ -213,10 +215,10 @@
     }
 
     /**
-     * The sender leaves and hands over what it knows of work that must run at most once.
+     * Hands over the sender's table of work that must run at most once, when the sender leaves.
      *
      * @param service the service
-     * @param rosterDigest the digest of the members under which the sender acted
+     * @param rosterDigest the digest of the members of the roster under which the sender acted
      * @param vouchedFromMillis every run of an identifier minted after this is in the table, wall clock since 1970
      * @param vouchedUntilMillis the sender stopped running work at this time, wall clock since 1970
      * @param part the number of this part, from 0
@@ -239,18 +241,18 @@
     }
 
     /**
-     * One known request of a {@link HolderHandover}.
+     * A request in the table of a {@link HolderHandover}.
      *
      * @param request the request
-     * @param mintedMillis when its identifier was minted, if it says so, wall clock since 1970
-     * @param contentHash a hash of its content, by which a reused identifier is found
-     * @param outcome what it came to; empty while it may still be running
+     * @param mintedMillis when its identifier was minted, wall clock since 1970; empty if the identifier holds no time
+     * @param contentHash a hash of its content, which detects a reused identifier
+     * @param outcome its outcome; empty while it may still be running
      */
     record HolderEntry(
             RequestIdentifier request, OptionalLong mintedMillis, int contentHash, Optional<Outcome> outcome) {}
 
     /**
-     * Asks for a service's document if the receiver has a newer one.
+     * Requests a service's document if the receiver has a newer version.
      *
      * @param service the service
      * @param knownVersion the version that the sender has, 0 for none
@@ -262,7 +264,7 @@
      *
      * @param service the service
      * @param version the platform's version number
-     * @param text the whole text
+     * @param text the complete text
      */
     record ConfigurationDocument(ServiceName service, long version, String text) implements PeerMessage {}
 
@@ -271,8 +273,8 @@
      *
      * @param service the service
      * @param baseVersion the version that the change applies to
-     * @param version the version that it leads to
-     * @param edits the replaced line ranges, in rising order
+     * @param version the resulting version
+     * @param edits the replaced line ranges, in ascending order
      * @param checksum the CRC-32C of the resulting text in UTF-8
      */
     record ConfigurationChange(ServiceName service, long baseVersion, long version, List<LineEdit> edits, int checksum)
@@ -283,12 +285,11 @@
         }
     }
 
-    /**
-     * One replaced range of lines.
+    /** A replaced range of lines.
      *
      * @param fromLine the first line replaced, from 0, in the base text
-     * @param removedLines how many lines go
-     * @param addedLines the lines that come
+     * @param removedLines the number of removed lines
+     * @param addedLines the added lines
      */
     record LineEdit(int fromLine, int removedLines, List<String> addedLines) {
 
@@ -297,38 +298,37 @@
         }
     }
 
-    /**
-     * A node's load.
+    /** The load of a node.
      *
-     * @param inFlight requests at the local copy
-     * @param limit the learned concurrency limit
-     * @param queued requests waiting
+     * @param inFlight the requests in flight at the local copy
+     * @param limit the adaptive concurrency limit
+     * @param queued the number of queued requests
      * @param cut the lowest priority level that the node admits
      */
     record LoadReport(int inFlight, int limit, int queued, int cut) {}
 
     /**
-     * The admission cut of a service as its callers should apply it.
+     * The admission cut of a service, which its callers apply.
      *
      * @param service the service
-     * @param level the lowest priority level that has a chance there, 0 for all
+     * @param level the lowest priority level that the service may admit; 0 for all
      */
     record ServiceCut(ServiceName service, int level) {}
 
     /**
-     * A request for the copy beside the receiver, which the sender chose.
+     * A request for the copy beside the receiver, which the sender has chosen.
      *
      * @param attempt this attempt, echoed in the answer
-     * @param requestName the client's own name for the request, which the copy echoes
+     * @param requestName the client's name for the request, which the copy echoes
      * @param service the copy's service
-     * @param copy the copy that may run it, and no other
-     * @param callerService the service beside which the request began
-     * @param organisation the organisation whose key the request carried; empty where it carried none
-     * @param rootRoute the route of the caller's request for whose sake this one is made
-     * @param rank the place in the order of refusal, 0 last
-     * @param idempotent whether running it twice does no harm
-     * @param depth calls between the caller's request and this one, 0 for the caller's own
-     * @param rootAgeNanos time since the caller's request arrived behind which this one is made
+     * @param copy the only copy that may run it
+     * @param callerService the service of the node at which the request entered
+     * @param organisation the organisation whose key the request carried; empty if it carried none
+     * @param rootRoute the route of the root request, on whose behalf this one is made
+     * @param rank the place in the order of refusal; rank 0 is refused last
+     * @param idempotent whether the request may run more than once
+     * @param depth the number of calls between the root request and this one; 0 for the root request
+     * @param rootAgeNanos the time since the root request arrived
      * @param remainingNanos time left until the deadline
      * @param content the request
      */
@@ -349,21 +349,23 @@
             implements PeerMessage {}
 
     /**
-     * What a node says of itself: at short intervals to those that sum up for its availability zone, to others when the two
-     * have just connected, when it is asked, and when it leaves.
+     * A node's report of its own state. A node sends it at short intervals to the aggregators of its availability zone,
+     * and to other nodes after connecting, on request, and when it leaves.
      *
-     * @param sequence rises by one with each report of this process
-     * @param published what the sender decides by of all that is published
-     * @param readsPlatform whether the sender could read the platform for others: no read of it failed lately
-     * @param leaving whether the sender takes no new work
+     * @param sequence the report's number, which rises by one with each report of the sender's process
+     * @param published the sender's known state of the published entries
+     * @param readsPlatform whether the sender could read the platform for others: none of its reads failed recently
+     * @param leaving whether the sender accepts no new work
      * @param service the service of the sender's copy
      * @param load the load of the sender's copy
-     * @param workSeconds what the sender's copy lately took for a request, without its calls; 0 where that is not known
-     * @param sameZone whether the receiver stands in the sender's availability zone, as far as the sender knows
-     * @param summed whether the receiver is to sum it up with others, and to tell the sender what it knows of the fleet
-     * @param demands what callers ask of the sender, by route; empty but for the one receiver that adds them up
-     * @param costs what a request of each route costs at each service, as the sender has seen; empty as the demands
-     * @param uses what organisations lately used of their allowances here
+     * @param workSeconds how long the sender's copy recently worked on a request, without its calls; 0 if unknown
+     * @param sameZone whether the receiver is in the sender's availability zone, as far as the sender knows
+     * @param summed whether the receiver is to aggregate the report with others and to send the sender a summary of the
+     *     fleet
+     * @param demands the demand of callers at the sender, by route; empty except for the one receiver that adds them up
+     * @param costs the cost of a request of each route at each service, as measured by the sender; empty like the
+     *     demands
+     * @param uses the recent use of allowances by organisations at the sender
      */
     record NodeReport(
             long sequence,
@@ -387,9 +389,9 @@
         }
 
         /**
-         * Leaves out demands, costs and uses, for a receiver that does not sum it up.
+         * Returns the report without demands, costs and uses, for a receiver that does not aggregate it.
          *
-         * @param inSameZone whether the receiver stands in the sender's availability zone
+         * @param inSameZone whether the receiver is in the sender's availability zone
          * @return the shorter report
          */
         public NodeReport toBeKnown(boolean inSameZone) {
@@ -397,9 +399,9 @@
         }
 
         /**
-         * Asks a receiver of the sender's availability zone to sum it up with others.
+         * Returns the report for an aggregator of the sender's availability zone.
          *
-         * @param whole whether the receiver adds up demands, costs and uses; else they are left out
+         * @param whole whether the receiver adds up demands, costs and uses; otherwise they are left out
          * @return the report
          */
         public NodeReport toBeSummed(boolean whole) {
@@ -428,39 +430,39 @@
         }
     }
 
-    /** Asks for a report at once; without an answer, the connection or the receiver is gone. */
+    /** Requests an immediate report. If none arrives, the connection or the receiver has failed. */
     record ReportWanted() implements PeerMessage {}
 
     /**
-     * What a node that sums up tells the others that do: the state of the nodes that report to it.
+     * The summary that an aggregator sends to other aggregators: the state of the nodes that report to it.
      *
-     * @param summary their state
+     * @param summary the state of these nodes
      */
     record GroupSummary(StateSummary summary) implements PeerMessage {}
 
     /**
-     * What a node that sums up tells those that report to it: the state of the whole fleet.
+     * The summary that an aggregator sends to the nodes that report to it: the state of the whole fleet.
      *
-     * @param summary its state
+     * @param summary the state of the fleet
      */
     record FleetSummary(StateSummary summary) implements PeerMessage {}
 
     /**
-     * What callers of organisations of one rank ask of one route at one node.
+     * The demand for one route at one node by callers of organisations of one rank.
      *
      * @param route the route's name
      * @param organisationRank the rank of the organisations
-     * @param offeredPerSecond requests that came
-     * @param completedPerSecond requests that were answered by a copy
+     * @param offeredPerSecond the requests received per second
+     * @param completedPerSecond the requests per second that a copy answered
      */
     record RouteDemand(String route, int organisationRank, float offeredPerSecond, float completedPerSecond) {}
 
     /**
-     * What one request of a route costs at one service.
+     * The cost of one request of a route at one service.
      *
      * @param route the route's name
      * @param service the service
-     * @param slotSeconds the time for which it keeps slots busy there, all calls that it causes included
+     * @param slotSeconds the time for which it occupies slots there, including all calls that it causes
      */
     record RouteCost(String route, ServiceName service, float slotSeconds) {}
 
@@ -468,9 +470,9 @@
      * The answer to a {@link CopyRequest}.
      *
      * @param attempt the attempt answered
-     * @param outcome what it came to
+     * @param outcome its outcome
      * @param load the load of the answering node's copy
-     * @param times the slots' time that it took, here and at deeper services
+     * @param times the slot time that it took at this service and at the services it called
      */
     record CopyAnswer(AttemptIdentifier attempt, Outcome outcome, LoadReport load, List<SlotTime> times)
             implements PeerMessage {
@@ -481,7 +483,7 @@
     }
 
     /**
-     * Time for which slots of a service were busy.
+     * The time for which slots of a service were occupied.
      *
      * @param service the service
      * @param seconds the time
@@ -489,10 +491,10 @@
     record SlotTime(ServiceName service, float seconds) {}
 
     /**
-     * What the sender knows of requests under which copies crashed.
+     * The sender's known state of requests during which copies crashed.
      *
      * @param service the service of these copies
-     * @param suspicions what is known of each request
+     * @param suspicions the known state of each request
      */
     record Suspicions(ServiceName service, List<Suspicion> suspicions) implements PeerMessage {
 
@@ -502,19 +504,19 @@
     }
 
     /**
-     * Asks for the published entries that changed what the receiver decides by.
+     * Requests the published entries that changed the receiver's known state.
      *
-     * @param since from where on
+     * @param since the starting point
      */
     record EntriesWanted(ChangesSince since) implements PeerMessage {}
 
     /**
      * The answer to {@link EntriesWanted}.
      *
-     * @param position with these, the receiver knows all changes of the sender up to this one; 0 where that isn't said
-     * @param upTo up to which of the platform's revisions the sender knows all changes
-     * @param complete whether these are all entries that there are: the sender no longer knows what was removed since
-     * @param entries the entries, removed ones included as long as they are remembered
+     * @param position the sender's position up to which the receiver then knows all its changes; 0 if not stated
+     * @param upTo the platform's revision up to which the sender knows all changes
+     * @param complete whether these are all existing entries, because the sender no longer knows what was removed since
+     * @param entries the entries, including removed ones as long as the sender keeps them
      */
     record Entries(long position, Revision upTo, boolean complete, List<KnownEntry> entries) implements PeerMessage {
 
--- a/policy/src/main/java/org/carawaysill/policy/message/StateSummary.java
+++ b/policy/src/main/java/org/carawaysill/policy/message/StateSummary.java
@@ -6,14 +6,14 @@
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
 /**
- * The state of many nodes, summed up by one of them.
+ * The state of many nodes, aggregated by one of them.
  *
- * <p>Invariant: a node that is not listed was not heard of lately. Immutable and thread safe.
+ * <p>Invariant: a node that is not listed was not heard from recently. Immutable and thread safe.
  *
- * @param published what the sender decides by of all that is published
- * @param nodes the nodes that were heard of lately
- * @param routes what callers ask of these nodes, and what that costs
- * @param uses what organisations lately used of their allowances at these nodes
+ * @param published the sender's known state of the published entries
+ * @param nodes the nodes that were heard from recently
+ * @param routes the demand of callers at these nodes, and its cost
+ * @param uses the recent use of allowances by organisations at these nodes
  */
 public record StateSummary(
         PublishedState published, List<NodeState> nodes, List<RouteSummary> routes, List<OrganisationUse> uses) {
@@ -25,14 +25,14 @@
     }
 
     /**
-     * One node that was heard of lately.
+     * A node that was heard from recently.
      *
      * @param node the node
      * @param service the service of its copy
-     * @param leaving whether it takes no new work
+     * @param leaving whether it accepts no new work
      * @param readsPlatform whether it could read the platform for others
      * @param load the load of its copy
-     * @param workSeconds what its copy lately took for a request, without its calls; 0 where that is not known
+     * @param workSeconds how long its copy recently worked on a request, without its calls; 0 if unknown
      */
     public record NodeState(
             NodeName node,
@@ -43,11 +43,11 @@
             float workSeconds) {}
 
     /**
-     * One route, over several nodes.
+     * The demand and cost of one route over several nodes.
      *
      * @param route the route's name
-     * @param demands requests of callers, by the rank of their organisations
-     * @param costs what one of them costs
+     * @param demands the demand of callers, by the rank of their organisations
+     * @param costs the cost of one request at each service
      */
     public record RouteSummary(String route, List<RankDemand> demands, List<ServiceCost> costs) {
 
@@ -58,19 +58,19 @@
     }
 
     /**
-     * What organisations of one rank ask of a route.
+     * The demand for a route by organisations of one rank.
      *
      * @param organisationRank their rank
-     * @param offeredPerSecond requests of callers
+     * @param offeredPerSecond the callers' requests per second
      */
     public record RankDemand(int organisationRank, float offeredPerSecond) {}
 
     /**
-     * What one request of a route costs at one service, averaged over nodes.
+     * The cost of one request of a route at one service, averaged over nodes.
      *
      * @param service the service
-     * @param slotSeconds the time for which it keeps slots busy there, all calls that it causes included
-     * @param weight how much this counts beside the average of other nodes, in requests that completed a second
+     * @param slotSeconds the time for which it occupies slots there, including all calls that it causes
+     * @param weight the weight of this average when combined with that of other nodes, in completed requests per second
      */
     public record ServiceCost(ServiceName service, float slotSeconds, float weight) {}
 }
--- a/policy/src/main/java/org/carawaysill/policy/message/Suspicion.java
+++ b/policy/src/main/java/org/carawaysill/policy/message/Suspicion.java
@@ -4,15 +4,16 @@
 import org.carawaysill.model.request.Fingerprint;
 
 /**
- * What nodes tell each other of one request under which copies crashed.
+ * The state of one request during which copies crashed, as exchanged between nodes.
  *
- * <p>Invariant: it only grows, so that it may be told twice, late, or in any order. Immutable and thread safe.
+ * <p>Invariant: the state only grows, so it may be received twice, late, or in any order. Immutable and thread safe.
  *
- * @param fingerprint the request
- * @param crashes the starts of copies that crashed while they ran it
- * @param witnessed the starts of copies that crashed while they ran it beside requests that were suspected already
- * @param cleared those of the first kind that it is no longer suspected for, since a copy has answered it since
- * @param quarantinedAt how many crashes it had when it was found to be their cause; 0 where it was not
+ * @param fingerprint the fingerprint of the request
+ * @param crashes the start times of copies that crashed while they ran it
+ * @param witnessed the start times of copies that crashed while they ran it beside already suspected requests
+ * @param cleared the elements of {@code crashes} for which it is no longer suspected, since a copy has answered it
+ *     since
+ * @param quarantinedAt the number of its crashes when it was quarantined as their cause; 0 if it was not
  * @param remainingNanos how much longer it is refused
  */
 public record Suspicion(
--- a/policy/src/main/java/org/carawaysill/policy/message/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/message/package-info.java
@@ -1,4 +1,4 @@
-/** What nodes say to each other. */
+/** The messages that nodes exchange. */
 @NullMarked
 package org.carawaysill.policy.message;
 
