--- a/policy/src/main/java/org/carawaysill/policy/time/Nanos.java
+++ b/policy/src/main/java/org/carawaysill/policy/time/Nanos.java
@@ -1,9 +1,9 @@
 package org.carawaysill.policy.time;
 
-/** Turns nanoseconds into other units. Stateless and thread safe. */
+/** Converts nanoseconds to other units. Stateless and thread safe. */
 public final class Nanos {
 
-    /** How many make a second. */
+    /** The number of nanoseconds in a second. */
     public static final double PER_SECOND = 1e9;
 
     private static final long PER_MILLISECOND = 1_000_000;
@@ -11,7 +11,7 @@
     private Nanos() {}
 
     /**
-     * Gives whole milliseconds.
+     * Converts nanoseconds to whole milliseconds.
      *
      * @param nanos nanoseconds
      * @return milliseconds, rounded down
--- a/policy/src/main/java/org/carawaysill/policy/time/SlidingCount.java
+++ b/policy/src/main/java/org/carawaysill/policy/time/SlidingCount.java
@@ -1,9 +1,10 @@
 package org.carawaysill.policy.time;
 
 /**
- * Counts occurrences within the last parts of time.
+ * Counts occurrences within a sliding window that consists of equal time intervals.
  *
- * <p>Invariant: a part leaves the count whole, when that many parts have begun after it. Not thread safe: owned by the policy.
+ * <p>Invariant: an interval leaves the count as a whole, once as many intervals have begun after it as the window has.
+ * Not thread safe: owned by the policy.
  */
 public final class SlidingCount {
 
@@ -13,11 +14,11 @@
     private int sum;
 
     /**
-     * Starts with nothing counted.
+     * Creates an empty count.
      *
      * @param now the monotonic time
-     * @param partNanos the length of a part in nanoseconds; 0 counts as 1
-     * @param parts how many parts count, the present one included
+     * @param partNanos the length of an interval in nanoseconds; 0 counts as 1
+     * @param parts the number of intervals in the window, including the current one
      */
     public SlidingCount(long now, long partNanos, int parts) {
         this.partNanos = Math.max(1, partNanos);
@@ -40,7 +41,7 @@
     }
 
     /**
-     * Counts one.
+     * Counts one occurrence.
      *
      * @param now the monotonic time
      */
@@ -51,7 +52,7 @@
     }
 
     /**
-     * Takes one back that was counted at an earlier time; one that has left the count is gone already.
+     * Removes an occurrence that was counted at an earlier time, unless its interval has already left the window.
      *
      * @param now the monotonic time
      * @param countedNanos when it was counted
@@ -66,7 +67,7 @@
     }
 
     /**
-     * Returns how many were counted within all parts.
+     * Returns the number of occurrences within the window.
      *
      * @param now the monotonic time
      * @return the count
@@ -77,7 +78,7 @@
     }
 
     /**
-     * Returns how many were counted since a time, the whole part in which it lies included.
+     * Returns the number of occurrences since a time, including the whole interval that contains this time.
      *
      * @param now the monotonic time
      * @param fromNanos the time
--- a/policy/src/main/java/org/carawaysill/policy/time/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/time/package-info.java
@@ -1,4 +1,4 @@
-/** The policy's notion of time, handed in with each event. */
+/** The policy's time, which each event carries, and counts over time. */
 @NullMarked
 package org.carawaysill.policy.time;
 
