--- a/policy/src/main/java/org/carawaysill/policy/distribution/Adoption.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/Adoption.java
@@ -11,10 +11,10 @@
 import org.carawaysill.policy.effect.Effect;
 
 /**
- * Checks documents, holds those that pass, and puts them in force once the starting gate is open.
+ * Checks documents, stores those that pass, and puts them in force once the starting gate is open.
  *
- * <p>Invariant: the version in force of a service never falls; it is checked again at the moment of the change. Not thread
- * safe: one thread owns it.
+ * <p>Invariant: the version in force of a service never falls; this is checked again when a version is put in force.
+ * Not thread safe: one thread owns it.
  */
 final class Adoption {
 
@@ -32,12 +32,12 @@
     }
 
     /**
-     * Takes in a text that another node sent; it passes the same checks as one from the platform.
+     * Checks a text that another node sent, in the same way as one from the platform, and stores or refuses it.
      *
      * @param service the document's service
      * @param version the platform's version number
      * @param text the text
-     * @return what to count and to log
+     * @return the counts and log lines
      */
     List<Effect> check(ServiceName service, long version, String text) {
         if (!isNews(service, version)) {
@@ -62,11 +62,11 @@
     }
 
     /**
-     * Takes in a document that passed the checks.
+     * Stores a document that passed the checks.
      *
      * @param configuration its content
      * @param text its text
-     * @return what to count and to log
+     * @return the counts and log lines
      */
     List<Effect> hold(ServiceConfiguration configuration, String text) {
         ServiceName service = configuration.service();
@@ -81,11 +81,11 @@
     }
 
     /**
-     * Takes in a document that failed the checks; what is in force stays.
+     * Refuses a document that failed the checks; the version in force stays.
      *
      * @param service the document's service
      * @param document its version and faults
-     * @return what to count and to log, nothing if it was known
+     * @return the counts and log lines; empty if the refusal was already known
      */
     List<Effect> refuse(ServiceName service, RefusedDocument document) {
         if (!documents.of(service).refuse(document)) {
@@ -95,7 +95,7 @@
         return List.of(new Effect.Count(ConfigurationCount.REFUSED), log(line));
     }
 
-    /** Puts in force what is held. */
+    /** Puts all stored newer versions in force. */
     List<Effect> bringAllIntoForce() {
         List<Effect> effects = new ArrayList<>();
         for (ServiceName service : documents.followed()) {
--- a/policy/src/main/java/org/carawaysill/policy/distribution/ConfigurationDistribution.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/ConfigurationDistribution.java
@@ -22,11 +22,11 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Brings the documents of a node's own service and of the services that it calls into force: a few elected nodes of each
- * service watch them at the platform, the others get them from nodes.
+ * Distributes the documents of a node's own service and of the services that it calls, and puts them in force: a few
+ * elected nodes of each service watch them at the platform, the others get them from nodes.
  *
- * <p>Invariant: the version in force of a service never falls, and nothing is in force before the node knows what its peers
- * have in force. Not thread safe: one thread owns it.
+ * <p>Invariant: the version in force of a service never falls, and no version is in force before the node knows the
+ * versions in force at its peers. Not thread safe: one thread owns it.
  */
 public final class ConfigurationDistribution {
 
@@ -43,18 +43,18 @@
     private final PeerDocuments peerDocuments;
     private boolean started;
 
-    /** Whether something happened that bears on the elections, the reads, the questions to others or the gate. */
+    /** Whether an event may affect the elections, the reads, the requests to other nodes or the starting gate. */
     private boolean reconsider;
 
     private long nextWakeNanos = Long.MIN_VALUE;
 
     /**
-     * Creates the distribution of a node that has just started and knows nothing.
+     * Creates the distribution of a node that has just started and has no documents.
      *
      * @param self this node
      * @param own its service
      * @param parser the checks that a document must pass
-     * @param settings how to get documents
+     * @param settings the settings of the distribution
      * @param random the source of jitter
      */
     public ConfigurationDistribution(
@@ -75,11 +75,11 @@
     }
 
     /**
-     * Takes in an event; those that don't concern configuration change nothing.
+     * Handles an event; events that don't concern configuration have no effect.
      *
-     * @param now the moment
-     * @param event what happened; the first one starts the work
-     * @return what to do
+     * @param now the time of the event
+     * @param event the event; the first one starts the distribution
+     * @return the resulting effects
      */
     public List<Effect> handle(Moment now, Event event) {
         if (!started) {
@@ -179,7 +179,7 @@
         return effects;
     }
 
-    /** A node that is just getting its first document from another needn't read the same. */
+    /** A node that is receiving its first document from a peer need not read it from the platform too. */
     private boolean mayRead(long now, ServiceName service) {
         return documents.of(service).newest().isPresent() || !exchange.pulling(now, service);
     }
@@ -201,7 +201,7 @@
     }
 
     /**
-     * Gives the configuration under which this node acts.
+     * Returns the configuration in force at this node.
      *
      * @param service the service
      * @return its configuration; empty before the node is ready to serve
@@ -211,8 +211,8 @@
     }
 
     /**
-     * Gives the newest configuration that this node holds, also before it is in force; a starting node finds its peers by
-     * it.
+     * Returns the newest configuration that this node has, even before it is in force. A starting node finds its peers
+     * in it.
      *
      * @param service the service
      * @return its configuration
@@ -222,8 +222,8 @@
     }
 
     /**
-     * Counts the documents taken in, so that a caller sees cheaply whether {@link #newest} or {@link #inForce} may have
-     * changed.
+     * Returns a number that rises when documents are stored or put in force. A caller can compare it to detect whether
+     * {@link #newest} or {@link #inForce} may have changed.
      *
      * @return a number that rises with each change
      */
@@ -232,7 +232,7 @@
     }
 
     /**
-     * Gives the versions in force.
+     * Returns the versions in force.
      *
      * @return the version by service
      */
@@ -245,17 +245,17 @@
     }
 
     /**
-     * Gives the versions that a heartbeat to a node should carry.
+     * Returns the versions to send in a heartbeat to a node.
      *
-     * @param peer the other node
-     * @return the version held by service, 0 where this node has none yet
+     * @param peer the receiver
+     * @return the newest version of each service's document at this node; 0 if it has none yet
      */
     public Map<ServiceName, Long> versionsFor(NodeName peer) {
         return exchange.versionsFor(peer);
     }
 
     /**
-     * Gives the last refused document of each service, as long as no newer one is held.
+     * Returns the last refused document of each service, as long as no newer valid one is known.
      *
      * @return the refused document by service
      */
@@ -268,16 +268,16 @@
     }
 
     /**
-     * Tells whether what is in force may be acted upon.
+     * Returns whether the node may serve under the configuration in force.
      *
-     * @return whether this node has learned what its peers have in force
+     * @return whether this node knows the versions in force at its peers
      */
     public boolean readyToServe() {
         return gate.isOpen();
     }
 
     /**
-     * Tells when to wake it if nothing happens before.
+     * Returns when to deliver the next wake-up if no event occurs before.
      *
      * @return nanoseconds on the monotonic clock
      */
--- a/policy/src/main/java/org/carawaysill/policy/distribution/DistributionSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DistributionSettings.java
@@ -3,15 +3,16 @@
 import java.time.Duration;
 
 /**
- * How a node gets its configuration.
+ * The settings for distributing configuration documents.
  *
  * <p>Immutable and thread safe.
  *
- * @param readersPerService how many nodes of a service watch a document at the platform
- * @param patience how long the platform may hold a watch open
- * @param auditInterval how often some node of a service that doesn't watch reads the service's document
- * @param fleetReadsPerSecond the reads at the platform that the fleet may reach when every node reads for itself
- * @param startingBound how long a starting node waits for the answers of all others before a majority is enough
+ * @param readersPerService the number of nodes of a service that watch a document at the platform
+ * @param patience how long the platform may keep a watch open
+ * @param auditInterval the mean interval between reads of a service's document by nodes of the service that don't watch
+ *     it
+ * @param fleetReadsPerSecond the limit of the fleet's total reads at the platform when every node reads for itself
+ * @param startingBound how long a starting node waits for the answers of all other nodes before a majority suffices
  */
 public record DistributionSettings(
         int readersPerService,
@@ -20,11 +21,11 @@
         int fleetReadsPerSecond,
         Duration startingBound) {
 
-    /** The settings that the decision record argues for. */
+    /** The default settings, whose reasons are in the decision record. */
     public static final DistributionSettings DEFAULT = builder().build();
 
     /**
-     * Starts from the settings that the decision record argues for.
+     * Returns a builder with the default settings, whose reasons are in the decision record.
      *
      * @return a builder
      */
@@ -55,9 +56,9 @@
         }
 
         /**
-         * Sets the length of a watch.
+         * Sets how long a watch lasts.
          *
-         * @param duration the time that the platform may hold it open
+         * @param duration the time for which the platform may keep it open
          * @return this builder
          */
         public Builder patience(Duration duration) {
@@ -77,9 +78,9 @@
         }
 
         /**
-         * Sets the bound of reads when every node reads for itself.
+         * Sets the limit of reads when every node reads for itself.
          *
-         * @param reads reads per second over the whole fleet
+         * @param reads the reads per second of the whole fleet
          * @return this builder
          */
         public Builder fleetReadsPerSecond(int reads) {
@@ -88,9 +89,9 @@
         }
 
         /**
-         * Sets the wait of a starting node.
+         * Sets how long a starting node waits for the answers of all other nodes.
          *
-         * @param duration the time after which a majority of answers is enough
+         * @param duration the time after which a majority of answers suffices
          * @return this builder
          */
         public Builder startingBound(Duration duration) {
@@ -98,8 +99,7 @@
             return this;
         }
 
-        /**
-         * Finishes.
+        /** Builds the settings.
          *
          * @return the settings
          */
--- a/policy/src/main/java/org/carawaysill/policy/distribution/DocumentHistory.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DocumentHistory.java
@@ -13,9 +13,10 @@
 import org.carawaysill.policy.message.PeerMessage.ConfigurationDocument;
 
 /**
- * The newest text of a service's document and a few earlier ones, from which changes are made for nodes that have those.
+ * Stores the newest text of a service's document and a few earlier ones, and computes changes for nodes that have an
+ * earlier one.
  *
- * <p>Invariant: versions rise; earlier texts together stay below a fixed size. Not thread safe: one thread owns it.
+ * <p>Invariant: versions rise; the total size of earlier texts is bounded. Not thread safe: one thread owns it.
  */
 final class DocumentHistory {
 
@@ -50,10 +51,11 @@
     }
 
     /**
-     * Makes what brings a node from a version to the newest one.
+     * Returns the message that updates a node from a given version to the newest one.
      *
      * @param knownVersion the version that the node has, 0 for none
-     * @return a change where the earlier text is still held and the change is the smaller one, else the document
+     * @return a change if the earlier text is still stored and the change is smaller than the document; otherwise the
+     *     document; empty if the node's version is not older
      */
     Optional<PeerMessage> update(long knownVersion) {
         if (newest.isEmpty() || newest.get().version <= knownVersion) {
@@ -66,10 +68,10 @@
     }
 
     /**
-     * Makes the change from an earlier version to the newest one.
+     * Returns the change from an earlier version to the newest one.
      *
      * @param baseVersion the earlier version
-     * @return the change; empty where the earlier text is no longer held
+     * @return the change; empty if the earlier text is no longer stored
      */
     Optional<ConfigurationChange> change(long baseVersion) {
         ConfigurationChange made = changes.get(baseVersion);
@@ -98,7 +100,7 @@
      * Applies a change that another node sent.
      *
      * @param change the change
-     * @return the resulting text; empty unless it applies to the newest text here and its checksum agrees
+     * @return the resulting text; empty unless the change applies to the newest text here and its checksum matches
      */
     Optional<String> apply(ConfigurationChange change) {
         return newest.filter(text -> text.version == change.baseVersion())
@@ -108,10 +110,10 @@
     }
 
     /**
-     * Estimates the bytes of a change on the wire.
+     * Estimates the encoded size of a change.
      *
      * @param change the change
-     * @return its size, with a few bytes for each edit
+     * @return the size in bytes, including a fixed overhead per edit
      */
     static int size(ConfigurationChange change) {
         return change.edits().stream()
--- a/policy/src/main/java/org/carawaysill/policy/distribution/DocumentParser.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DocumentParser.java
@@ -2,20 +2,20 @@
 
 import org.carawaysill.model.configuration.ServiceConfiguration;
 
-/** Checks a published document; gives the same verdict on every node. Implementations are thread safe. */
+/** Checks a published document, with the same result on every node. Implementations are thread safe. */
 @FunctionalInterface
 public interface DocumentParser {
 
     /**
-     * Checks a document as a whole.
+     * Parses and checks a document as a whole.
      *
      * @param text the published text
      * @param version the platform's version number
-     * @return the configuration, or why it is refused
+     * @return the configuration, or the reason for the refusal
      */
     Verdict parse(String text, long version);
 
-    /** The outcome of a check. Immutable and thread safe. */
+    /** The result of a check. Immutable and thread safe. */
     sealed interface Verdict {
 
         /**
@@ -28,7 +28,7 @@
         /**
          * The document is refused.
          *
-         * @param message its faults, in one line
+         * @param message its faults in one line
          */
         record Invalid(String message) implements Verdict {}
     }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/DocumentSet.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DocumentSet.java
@@ -10,10 +10,10 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * The documents that a node follows: that of its own service and of each service that it calls.
+ * The documents that a node follows: those of its own service and of each service that it calls.
  *
- * <p>Invariant: a document that is no longer followed is kept, so that its version can't fall when it is followed again.
- * Not thread safe: one thread owns it.
+ * <p>Invariant: a document that is no longer followed stays stored, so that its version can't fall when it is followed
+ * again. Not thread safe: one thread owns it.
  */
 final class DocumentSet {
 
@@ -46,7 +46,7 @@
         return of(own).newest();
     }
 
-    /** Follows what the newest own document says. */
+    /** Follows the services that the newest document of the own service calls. */
     void followCalls() {
         Set<ServiceName> services = new TreeSet<>(Set.of(own));
         newestOwn().ifPresent(configuration -> services.addAll(configuration.calls()));
@@ -54,11 +54,11 @@
     }
 
     /**
-     * Tells whether a node is in a service's newest roster.
+     * Returns whether a node is in a service's newest roster.
      *
      * @param service the service
      * @param node the node
-     * @return whether it is
+     * @return whether it has a copy there
      */
     boolean hasCopy(ServiceName service, NodeName node) {
         return of(service)
--- a/policy/src/main/java/org/carawaysill/policy/distribution/FollowedDocument.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/FollowedDocument.java
@@ -5,7 +5,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * What a node holds of one service's document.
+ * A node's state of one service's document: the newest version, the version in force, and the last refused one.
  *
  * <p>Invariant: the newest version and the version in force never fall. Not thread safe: one thread owns it.
  */
@@ -50,17 +50,18 @@
         return inForce.map(ServiceConfiguration::version).orElse(0L);
     }
 
-    /** The version after which the platform has news: the highest that is held or was refused. */
+    /** Returns the highest version that is stored or was refused; only higher ones at the platform are new. */
     long settledVersion() {
         return Math.max(version(), refused.map(RefusedDocument::version).orElse(0L));
     }
 
     /**
-     * Tells whether another node's version would be news. One below a refused version may be: where an invalid document
-     * is the newest at the platform, a node that has just started gets the last good one from other nodes only.
+     * Returns whether another node's version is newer than the stored one and not the refused one. It may be below a
+     * refused version: while an invalid document is the newest at the platform, a node that has just started gets the
+     * last valid one only from other nodes.
      *
      * @param other the version
-     * @return whether it is newer than what is held, and not the refused one
+     * @return whether this node should adopt it
      */
     boolean isNews(long other) {
         return other > version()
@@ -70,11 +71,11 @@
     }
 
     /**
-     * Takes in a checked document.
+     * Stores a valid document.
      *
      * @param configuration its content
      * @param text its text
-     * @return whether it is newer than what was held
+     * @return whether it is newer than the stored one
      */
     boolean hold(ServiceConfiguration configuration, String text) {
         if (configuration.version() <= version()) {
@@ -87,10 +88,10 @@
     }
 
     /**
-     * Takes in a document that failed the checks.
+     * Records a document that failed the checks.
      *
      * @param document its version and faults
-     * @return whether it was not known to be refused
+     * @return whether the refusal is new
      */
     boolean refuse(RefusedDocument document) {
         if (document.version() <= settledVersion()) {
--- a/policy/src/main/java/org/carawaysill/policy/distribution/LineDifference.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/LineDifference.java
@@ -6,18 +6,18 @@
 import org.carawaysill.policy.message.PeerMessage.LineEdit;
 
 /**
- * Finds and applies the difference between two texts by lines.
+ * Computes and applies the line-based difference between two texts.
  *
- * <p>Invariant: applying the edits found between two texts to the first gives the second. The edits are short for a few
- * scattered changes and never cost more than a fixed number of comparisons: where that is spent, one edit replaces the
- * rest. No shared state; thread safe.
+ * <p>Invariant: applying the computed edits to the first text yields the second. The edits are short for a few
+ * scattered changes. The number of comparisons is bounded: when it is used up, one edit replaces the rest. No shared
+ * state; thread safe.
  */
 final class LineDifference {
 
-    /** Equal lines in a row that count as the texts running together again. */
+    /** The number of consecutive equal lines at which the texts count as matching again. */
     private static final int RUN = 3;
 
-    /** How many lines one change may remove and add together before the rest is replaced. */
+    /** The maximum number of lines that one edit removes and adds in total before the rest is replaced. */
     private static final int WINDOW = 400;
 
     private static final int COMPARISONS = 500_000;
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Splits a text such that {@link #join(List)} gives it back.
+     * Splits a text so that {@link #join(List)} restores it.
      *
      * @param text the text
      * @return its lines
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Joins lines to the text that they were split from.
+     * Joins lines into the text that they were split from.
      *
      * @param lines the lines
      * @return the text
@@ -58,11 +58,11 @@
     }
 
     /**
-     * Finds the edits that lead from one text to another.
+     * Computes the edits that transform one text into another.
      *
-     * @param base the lines before
-     * @param target the lines after
-     * @return the replaced ranges, in rising order
+     * @param base the lines of the original text
+     * @param target the lines of the resulting text
+     * @return the replaced ranges, in ascending order
      */
     static List<LineEdit> between(List<String> base, List<String> target) {
         return new LineDifference(base, target).find();
@@ -71,9 +71,9 @@
     /**
      * Applies edits.
      *
-     * @param base the lines before
-     * @param edits the replaced ranges, in rising order
-     * @return the lines after; empty if the edits don't fit the base
+     * @param base the lines of the original text
+     * @param edits the replaced ranges, in ascending order
+     * @return the resulting lines; empty if the edits don't apply to the base
      */
     static Optional<List<String>> apply(List<String> base, List<LineEdit> edits) {
         List<String> result = new ArrayList<>(base.size());
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PeerDocuments.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PeerDocuments.java
@@ -11,10 +11,10 @@
 import org.carawaysill.policy.message.PeerMessage.ConfigurationDocument;
 
 /**
- * Takes in the documents and changes that other nodes send, and passes on what was new.
+ * Handles the documents and changes that other nodes send, and forwards new versions.
  *
- * <p>Invariant: a text from another node is held only after the same checks as one from the platform, and a change only
- * where the resulting text has the checksum that its sender stated. Not thread safe: one thread owns it.
+ * <p>Invariant: a text from another node is stored only after the same checks as one from the platform, and a change
+ * only if the resulting text has the checksum in the message. Not thread safe: one thread owns it.
  */
 final class PeerDocuments {
 
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PeerExchange.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PeerExchange.java
@@ -15,23 +15,26 @@
 import org.carawaysill.policy.message.PeerMessage.ConfigurationWanted;
 
 /**
- * Exchanges documents with other nodes: pushes small changes to those that lag, asks those that are ahead.
+ * Exchanges documents with other nodes: pushes small changes to nodes with older versions, and requests newer versions.
  *
- * <p>A push that is lost is made good by the versions in the next heartbeat, which the node that lags compares with its
- * own. Not thread safe: one thread owns it.
+ * <p>A lost push is repaired by the versions in the next heartbeat, which its receiver compares with its own. Not
+ * thread safe: one thread owns it.
  */
 final class PeerExchange {
 
-    /** Larger changes are not pushed, since a node may get the same one from several; it asks one of them instead. */
+    /**
+     * Larger changes are not pushed, since a node may receive the same one from several nodes; it requests the change
+     * from one of them instead.
+     */
     private static final int LARGEST_PUSH_BYTES = 4_096;
 
-    /** A little above three heartbeats within a service of up to {@link #NODES_AT_INTERVAL} nodes. */
+    /** Slightly more than three heartbeat intervals within a service of up to {@link #NODES_AT_INTERVAL} nodes. */
     private static final long SILENCE_NANOS = Duration.ofMillis(3_500).toNanos();
 
-    /** A little above three heartbeats between services. */
+    /** Slightly more than three heartbeat intervals between services. */
     private static final long SILENCE_OF_CALLED_NANOS = Duration.ofSeconds(10).toNanos();
 
-    /** Beyond this many nodes of a service they send heartbeats less often. */
+    /** In a service with more nodes than this, nodes send heartbeats less often. */
     private static final int NODES_AT_INTERVAL = 32;
 
     private final DocumentSet documents;
@@ -61,7 +64,7 @@
         return peers.answered(peer);
     }
 
-    /** The nodes of the own service that are heard. */
+    /** Returns the nodes of the own service that were heard from recently. */
     List<NodeName> neighbours(long now) {
         List<NodeName> nodes = documents.newestOwn().stream()
                 .flatMap(own -> own.copies().stream())
@@ -71,14 +74,16 @@
         return peers.heardSince(now - silence, nodes);
     }
 
-    /** Whether any node of a called service is heard, which then brings its document. */
+    /**
+     * Returns whether any node of a called service was heard from recently; such a node sends the service's document.
+     */
     boolean hearsCalled(long now, ServiceName service) {
         return documents.of(service).newest().stream()
                 .flatMap(configuration -> configuration.copies().stream())
                 .anyMatch(copy -> peers.heardSince(now - SILENCE_OF_CALLED_NANOS, copy.node()));
     }
 
-    /** Whether a node that is heard has a newer version of any followed document. */
+    /** Returns whether a node that was heard from recently has a newer version of any followed document. */
     boolean behind(long now) {
         return documents.followed().stream()
                 .anyMatch(service ->
@@ -94,11 +99,11 @@
     }
 
     /**
-     * Takes in the versions of a heartbeat.
+     * Records the versions of a heartbeat.
      *
      * @param from its sender
      * @param versions its versions by service
-     * @return whether any of them would be news
+     * @return whether any of them is new to this node
      */
     boolean told(NodeName from, Map<ServiceName, Long> versions) {
         peers.told(from, versions);
@@ -108,10 +113,10 @@
     }
 
     /**
-     * Asks for each document that another node has in a newer version, one of those nodes at a time.
+     * Requests each document of which other nodes have a newer version, from one of them at a time.
      *
      * @param now nanoseconds on the monotonic clock
-     * @return the questions
+     * @return the requests
      */
     List<Effect> askForWhatOthersHave(long now) {
         List<Effect> effects = new ArrayList<>();
@@ -126,13 +131,13 @@
     }
 
     /**
-     * Asks a node for a document.
+     * Requests a document from a node.
      *
      * @param now nanoseconds on the monotonic clock
      * @param node the node
      * @param service the document's service
-     * @param known the version that the answer may build on, 0 for the whole document
-     * @return the question
+     * @param known the version that the answer may be based on; 0 for the whole document
+     * @return the request
      */
     Effect ask(long now, NodeName node, ServiceName service, long known) {
         pulls.opened(now, service, node);
@@ -140,10 +145,10 @@
     }
 
     /**
-     * Answers a node that asks.
+     * Answers a node's request.
      *
      * @param from the node
-     * @param wanted its question
+     * @param wanted the request
      * @return the change or the document, if this node has a newer one
      */
     Optional<Effect> answer(NodeName from, ConfigurationWanted wanted) {
@@ -159,7 +164,7 @@
     }
 
     /**
-     * Notes that a node sent a version of a document.
+     * Records that a node sent a version of a document.
      *
      * @param from the node
      * @param service the document's service
@@ -170,7 +175,7 @@
         pulls.answered(service, from);
     }
 
-    /** Pushes a document's newest version, as a small change, to the nodes that are known to lag. */
+    /** Pushes a document's newest version, as a small change, to the nodes that are known to have an older one. */
     List<Effect> push(ServiceName service) {
         FollowedDocument document = documents.of(service);
         List<Effect> effects = new ArrayList<>();
@@ -189,11 +194,12 @@
     }
 
     /**
-     * Gives the versions that a heartbeat to a node carries. Nodes of the own service follow the same documents; a node of
-     * a called service cares for its own one; any other may be a caller, which cares for this one.
+     * Returns the versions to send in a heartbeat to a node. Nodes of the own service follow the same documents; a node
+     * of a called service needs only the version of its own service; any other node may be a caller, which needs the
+     * version of this service.
      *
      * @param peer the receiver
-     * @return the version by service, 0 where this node has none yet
+     * @return the version by service; 0 if this node has none yet
      */
     Map<ServiceName, Long> versionsFor(NodeName peer) {
         Map<ServiceName, Long> versions = new TreeMap<>();
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PeerVersions.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PeerVersions.java
@@ -13,9 +13,9 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Which documents the connected nodes follow, in which version as far as is known, and when each was last heard.
+ * Tracks which documents the connected nodes follow, their known versions, and when each node was last heard from.
  *
- * <p>Invariant: only connected nodes are held, in the order of their names. Not thread safe: one thread owns it.
+ * <p>Invariant: only connected nodes have versions, in the order of their names. Not thread safe: one thread owns it.
  */
 final class PeerVersions {
 
@@ -38,10 +38,10 @@
     }
 
     /**
-     * Takes in the versions that a node told.
+     * Records the versions that a node reported.
      *
      * @param node the node
-     * @param versions its versions by service, which replace what was assumed
+     * @param versions its versions by service, which replace assumed ones
      */
     void told(NodeName node, Map<ServiceName, Long> versions) {
         answered.add(node);
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Notes a version that a node has or is about to have.
+     * Records a version that a node has or is about to receive.
      *
      * @param node the node
      * @param service the document's service
@@ -69,7 +69,9 @@
         return peers.containsKey(node);
     }
 
-    /** Whether a node told its versions since this process started, also if it is no longer connected. */
+    /**
+     * Returns whether a node has reported its versions since this process started, even if it is no longer connected.
+     */
     boolean answered(NodeName node) {
         return answered.contains(node);
     }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PlatformAnswers.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PlatformAnswers.java
@@ -8,7 +8,7 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * Takes in what reads at the platform came to, and passes on what was new.
+ * Handles the outcomes of reads at the platform, and forwards new versions to other nodes.
  *
  * <p>Not thread safe: one thread owns it.
  */
@@ -26,7 +26,9 @@
         this.reads = reads;
     }
 
-    /** A replica that lags gives an older version than is held; trying again at once would meet the same replica. */
+    /**
+     * A lagging replica returns an older version than the stored one; an immediate retry would reach the same replica.
+     */
     List<Effect> take(long now, Event.ConfigurationRead read) {
         ServiceName service = read.configuration().service();
         ReadSchedule schedule = reads.schedule(service);
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PlatformReads.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PlatformReads.java
@@ -14,20 +14,21 @@
 import org.carawaysill.policy.effect.Effect;
 
 /**
- * This node's reads at the platform, paced so that the whole fleet stays below the platform's rate.
+ * Schedules this node's reads at the platform, paced so that the whole fleet stays below the platform's rate limit.
  *
- * <p>Invariant: two reads of this node are at least a pace apart that grows with the fleet, so that the reads of all nodes
- * together have a bound that does not, also when each believes itself alone. Not thread safe: one thread owns it.
+ * <p>Invariant: two reads of this node are separated by at least an interval that grows with the fleet, so that the
+ * total read rate has a bound that does not grow, even when every node sees no other node. Not thread safe: one thread
+ * owns it.
  */
 final class PlatformReads {
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long SHORTEST_PACE_NANOS = Duration.ofMillis(250).toNanos();
 
-    /** How long a starting node waits for the list of VMs, which tells how large the fleet is. */
+    /** How long a starting node waits for the list of VMs, which shows the size of the fleet. */
     private static final long FLEET_WAIT_NANOS = NANOS_PER_SECOND;
 
-    /** The fleet's size that is assumed until the list of VMs tells it. */
+    /** The assumed size of the fleet until the list of VMs is known. */
     private static final int ASSUMED_FLEET = 3_500;
 
     private final DistributionSettings settings;
@@ -46,7 +47,8 @@
     }
 
     /**
-     * Plans the first read of a node that has just started: later for a large fleet, since all may start together.
+     * Schedules the first read of a node that has just started: later in a large fleet, since all nodes may start at
+     * once.
      *
      * @param now nanoseconds on the monotonic clock
      * @param own the node's service
@@ -56,7 +58,7 @@
     }
 
     /**
-     * Takes in the size of the fleet; the first time it also brings the first read forward.
+     * Updates the size of the fleet; the first update also reschedules the first read to an earlier time.
      *
      * @param now nanoseconds on the monotonic clock
      * @param size the number of listed VMs
@@ -70,7 +72,7 @@
     }
 
     /**
-     * Takes in how many nodes of the own service hear one another, this one included.
+     * Updates how many nodes of the own service are in contact with each other, including this one.
      *
      * @param now nanoseconds on the monotonic clock
      * @param count the number, at least 1
@@ -87,12 +89,15 @@
         nextAuditNanos = now + (long) (mean * 2 * random.nextDouble());
     }
 
-    /** The time over which one read of every node is spread. */
+    /** Returns the time over which one read by every node is spread. */
     private long spreadOfAllNanos() {
         return fleet * NANOS_PER_SECOND / settings.fleetReadsPerSecond();
     }
 
-    /** As {@link #spreadOfAllNanos()}, less where only some of the nodes that hear one another read. */
+    /**
+     * Returns the minimum time between two reads of this node: {@link #spreadOfAllNanos()}, or less if only some of the
+     * nodes that are in contact with each other read.
+     */
     private long paceNanos() {
         long spread = spreadOfAllNanos();
         return Math.max(SHORTEST_PACE_NANOS, Math.min(spread, spread * settings.readersPerService() / neighbours));
@@ -111,12 +116,12 @@
     }
 
     /**
-     * Starts what is due.
+     * Starts the reads that are due.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param own the own service, which also gets audits
-     * @param wanted whether a document should be read at the platform now
-     * @param known the version after which a document is news
+     * @param own the own service, which is also audited
+     * @param wanted whether a document may be read at the platform now
+     * @param known the version above which a document is new
      * @return the reads
      */
     List<Effect> start(long now, ServiceName own, Predicate<ServiceName> wanted, ToLongFunction<ServiceName> known) {
--- a/policy/src/main/java/org/carawaysill/policy/distribution/Pulls.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/Pulls.java
@@ -7,13 +7,16 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * The documents that this node has asked other nodes for.
+ * Tracks the documents that this node has requested from other nodes.
  *
- * <p>Invariant: each document is asked of one node at a time. Not thread safe: one thread owns it.
+ * <p>Invariant: each document is requested from one node at a time. Not thread safe: one thread owns it.
  */
 final class Pulls {
 
-    /** A node that was asked and then died or was cut off would keep the document away; after this time another is asked. */
+    /**
+     * After this time a document is requested from another node, since the first one may have crashed or become
+     * unreachable.
+     */
     private static final long TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final Map<ServiceName, Pull> open = new HashMap<>();
--- a/policy/src/main/java/org/carawaysill/policy/distribution/ReadSchedule.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/ReadSchedule.java
@@ -4,7 +4,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When one document is read at the platform next.
+ * Schedules the reads of one document at the platform.
  *
  * <p>Invariant: at most one read is open at a time. Not thread safe: one thread owns it.
  */
@@ -12,12 +12,12 @@
 
     private static final long FIRST_BACKOFF_NANOS = Duration.ofMillis(250).toNanos();
 
-    /** A platform that comes back is noticed within this time, and 3,500 nodes that retry stay below its rate. */
+    /** A recovered platform is noticed within this time, and 3,500 nodes that retry stay below its rate limit. */
     private static final long LONGEST_BACKOFF_NANOS = Duration.ofSeconds(4).toNanos();
 
     /**
-     * A read whose outcome never comes back, as when the adapter's connection was replaced under it, would end the
-     * watching of this document for good; after this time beyond its patience it counts as failed.
+     * A read whose outcome never arrives, as when the adapter's connection was replaced meanwhile, would permanently
+     * stop the watch of this document; so it counts as failed after this time beyond its patience.
      */
     private static final long LOST_AFTER_NANOS = Duration.ofSeconds(10).toNanos();
 
@@ -42,11 +42,11 @@
     }
 
     /**
-     * Makes this node a reader of the document, or no longer one; an open watch then runs out.
+     * Sets whether this node is a reader of the document. When it stops being one, an open watch ends by itself.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param nowReader whether it is one from now on
-     * @param spreadNanos over which the first reads of all new readers are spread
+     * @param nowReader whether it is a reader from now on
+     * @param spreadNanos the time over which the first reads of all new readers are spread
      */
     void role(long now, boolean nowReader, long spreadNanos) {
         if (nowReader && !reader) {
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Makes this node a reader with a given time for the first read.
+     * Makes this node a reader, with the given time of its first read.
      *
      * @param atNanos nanoseconds on the monotonic clock
      */
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Asks for a read at or before a time.
+     * Schedules the next read at or before a time.
      *
      * @param atNanos nanoseconds on the monotonic clock
      */
@@ -97,15 +97,15 @@
         }
     }
 
-    /** A newer document came, valid or not: the next watch starts at once. */
+    /** Handles a newer document, valid or not: the next watch starts at once. */
     void gotNewer(long now) {
         failures = 0;
         close(now);
     }
 
     /**
-     * Nothing newer came. A watch that ends long before its patience would make a busy loop of reads, so it counts as a
-     * failure.
+     * Handles a read without a newer document. A watch that ends long before its patience counts as a failure, since it
+     * would cause a busy loop of reads.
      *
      * @param now nanoseconds on the monotonic clock
      */
--- a/policy/src/main/java/org/carawaysill/policy/distribution/ReaderElection.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/ReaderElection.java
@@ -11,23 +11,24 @@
 import org.carawaysill.policy.routing.RendezvousRank;
 
 /**
- * Elects the nodes that watch a document at the platform, without a message: each node ranks those that it hears.
+ * Elects the nodes that watch a document at the platform, without messages: each node ranks the nodes that it has heard
+ * from recently.
  *
- * <p>Invariant: nodes that hear the same nodes elect the same ones; a part of a divided network elects its own. No state;
- * thread safe.
+ * <p>Invariant: nodes with the same candidates elect the same readers; each side of a network partition elects its own.
+ * Stateless and thread safe.
  */
 final class ReaderElection {
 
     private ReaderElection() {}
 
     /**
-     * Elects the readers of a document within a service: the first in rank, then the next of other availability zones as
-     * long as there are any, so that the loss of one zone leaves a reader.
+     * Elects the readers of a document within a service: the highest-ranked node, then the next ones in other
+     * availability zones as long as there are any, so that a reader remains after the loss of one zone.
      *
-     * @param document the document's service, which spreads the documents over the nodes
+     * @param document the document's service, the key of the ranking, which spreads the documents over the nodes
      * @param roster the electing service's configuration
-     * @param candidates the nodes that are heard, and the electing one
-     * @param count how many readers
+     * @param candidates the nodes that were heard from recently, and the electing one
+     * @param count the number of readers
      * @return the readers
      */
     static Set<NodeName> elect(
--- a/policy/src/main/java/org/carawaysill/policy/distribution/RefusedDocument.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/RefusedDocument.java
@@ -6,6 +6,6 @@
  * <p>Immutable and thread safe.
  *
  * @param version the platform's version number
- * @param message its faults, in one line
+ * @param message its faults in one line
  */
 public record RefusedDocument(long version, String message) {}
--- a/policy/src/main/java/org/carawaysill/policy/distribution/StartingGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/StartingGate.java
@@ -10,14 +10,14 @@
 import org.carawaysill.model.vm.VmList;
 
 /**
- * Holds back what a starting node has read until it has learned what its peers have in force.
+ * Keeps a starting node from putting documents in force until it knows the versions in force at its peers.
  *
- * <p>The failure: a node restarts with empty memory and reads a replica of the platform that lags; it would serve under an
- * older configuration than before its restart. Every configuration in force is held by the other nodes of the service
- * within seconds, so the answers of all of them, or of a majority where some can't be reached, show it. A node that hears
- * nobody keeps waiting: it can't tell an old document from the newest.
+ * <p>Guards against a node that restarts without state, reads a lagging replica of the platform, and serves under an
+ * older configuration than before its restart. Every configuration in force reaches the other nodes of the service
+ * within seconds, so the answers of all of them, or of a majority if some can't be reached, show it. A node without
+ * contact to any other keeps waiting, since it can't distinguish an old document from the newest.
  *
- * <p>Invariant: once open it stays open. Not thread safe: one thread owns it.
+ * <p>Invariant: once open, the gate stays open. Not thread safe: one thread owns it.
  */
 final class StartingGate {
 
@@ -41,12 +41,12 @@
     }
 
     /**
-     * Opens it if enough others have answered.
+     * Opens the gate if enough other nodes have answered.
      *
      * @param now nanoseconds on the monotonic clock
      * @param own the newest configuration of the own service, if there is one
-     * @param answered whether a node has told its versions
-     * @param behind whether a connected node is known to have a newer version that hasn't arrived yet
+     * @param answered whether a node has reported its versions
+     * @param behind whether a connected node is known to have a newer version that has not been received yet
      * @return whether it opened just now
      */
     boolean tryOpen(long now, Optional<ServiceConfiguration> own, Predicate<NodeName> answered, boolean behind) {
@@ -75,7 +75,7 @@
         return expected.stream().filter(answered).count() * 2 > expected.size() || expected.isEmpty();
     }
 
-    /** A VM that the list no longer has will not answer; while there is no list, every node may be there. */
+    /** Returns whether a node may still answer: its VM is in the list, or the list is not known yet. */
     private boolean mayLive(NodeName node) {
         return vmList.map(list -> list.state(node).isPresent()).orElse(true);
     }
--- a/policy/src/test/java/org/carawaysill/policy/distribution/ConfigurationDistributionTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/ConfigurationDistributionTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** One node of a service of three, with the test in place of the platform and of the other nodes. */
+/** Tests one node of a service of three. The test takes the place of the platform and of the other nodes. */
 class ConfigurationDistributionTest {
 
     private static final ServiceName SERVICE = new ServiceName("manifests");
@@ -109,9 +109,9 @@
     @Nested
     class AStart {
 
-        // Story: a node is replaced while one replica of the platform lags by an hour. It reads an old version from
-        // there
-        // and would serve under it, though it had served under the newest an hour ago and its peers still do.
+        // Guards against a fall of the version in force: a node is replaced while one replica of the platform lags by
+        // an hour. It reads an old version there and would serve under it, although it served under the newest before
+        // and its peers still do.
         @Test
         void doesNotServeUnderALaggingReplicasVersion() {
             read(3, TEXT);
@@ -145,7 +145,7 @@
             read(3, TEXT);
             connect(SECOND, 3);
             pass(Duration.ofMinutes(1));
-            assertFalse(distribution.readyToServe(), "one of two others is no majority");
+            assertFalse(distribution.readyToServe(), "one of two others is not a majority");
 
             handle(new Event.VmListRead(new VmList(Map.of(SELF, VmState.LIVE, SECOND, VmState.LIVE))));
             assertTrue(distribution.readyToServe(), "the third VM is gone");
@@ -175,9 +175,8 @@
     @Nested
     class AnInvalidDocument {
 
-        // Story: an operator publishes a document with a fault. A watch that starts again from the version in force
-        // gets
-        // the same one at once, so that each reader would read it many times a second until the fault is mended.
+        // Guards against a busy loop of reads: an operator publishes an invalid document. A watch that starts from the
+        // version in force returns it at once, so each reader would read it many times a second until it is corrected.
         @Test
         void isRefusedOnceShownAndWatchedPast() {
             becomeReadyWith(3);
@@ -231,8 +230,9 @@
             assertEquals(4, other.newest(SERVICE).orElseThrow().version());
         }
 
-        // Story: two nodes hold texts that differ under one version number, as after a fault of the platform. A change
-        // made from one text and applied to the other would give a document that nobody published.
+        // Guards against a corrupted document: two nodes have different texts for one version number, as after a fault
+        // of the platform. A change computed from one text and applied to the other would yield a document that was
+        // never published.
         @Test
         void withAWrongChecksumIsDroppedAndTheWholeDocumentAskedFor() {
             becomeReadyWith(3);
@@ -259,8 +259,8 @@
     @Nested
     class ThePlatform {
 
-        // Story: a proxy before the platform answers each watch at once with "nothing newer". A reader that starts the
-        // next watch at once would read as fast as the network allows.
+        // Guards against a busy loop of reads: a proxy in front of the platform answers each watch at once without a
+        // newer version. A reader that starts the next watch at once would read as fast as the network allows.
         @Test
         void thatDoesNotHoldWatchesIsReadSlowly() {
             handle(new Event.WakeUp());
@@ -293,9 +293,9 @@
             assertEquals(Map.of(SERVICE, 3L), distribution.versions());
         }
 
-        // Story: the answer to a watch gets lost inside the node, as when its connection pool is replaced. Without a
-        // bound
-        // the node would wait for ever and, being elected, keep others from watching.
+        // Guards against a watch that never ends: its answer is lost inside the node, as when the connection pool is
+        // replaced. Without a time limit the node would wait forever and, as an elected reader, keep others from
+        // watching.
         @Test
         void whoseAnswerIsLostIsReadAgain() {
             handle(new Event.WakeUp());
--- a/policy/src/test/java/org/carawaysill/policy/distribution/DistributionPropertyTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/DistributionPropertyTest.java
@@ -21,8 +21,8 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Seven nodes of two services, one calling the other, through random publications, cuts, pauses, restarts and outages of
- * the platform.
+ * Runs seven nodes of two services, one of which calls the other, under random publications, network partitions,
+ * pauses, restarts and outages of the platform.
  */
 class DistributionPropertyTest {
 
@@ -30,7 +30,7 @@
     private static final ServiceName DEEP = new ServiceName("manifests");
     private static final Duration LIMIT = Duration.ofSeconds(5);
 
-    /** A connection as young as this may not have carried its first heartbeat. */
+    /** A connection younger than this may not have carried its first heartbeat. */
     private static final long SETTLED_LINK_NANOS = 200 * VirtualFleet.MILLISECOND;
 
     enum Kind {
@@ -116,8 +116,8 @@
     }
 
     /**
-     * The platform gives the newest value only: while that is invalid, a last good one that no node of a service remembers
-     * is lost to this service until operators publish again.
+     * The platform returns only the newest value. While that is invalid, the last valid one is lost to a service of
+     * which no node has it, until operators publish again.
      */
     private static void correctWhatNobodyHolds(VirtualFleet fleet, ServiceName document) {
         boolean lost = Stream.of(DEEP, ENTRY)
@@ -148,7 +148,7 @@
         assertEquals(expected, node.distribution.versions(), () -> "in force at " + node.name);
     }
 
-    /** Versions never fall, also not over a restart while a peer that holds the version is connected. */
+    /** Checks that versions never fall, not even after a restart while a peer that has the version is connected. */
     private record VersionsNeverFall(
             VirtualFleet fleet, Map<NodeName, Map<ServiceName, Long>> highest, Map<NodeName, Long> incarnations) {
 
--- a/policy/src/test/java/org/carawaysill/policy/distribution/DistributionReadsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/DistributionReadsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
-/** What the platform and the nodes bear, in virtual time with fixed seeds. */
+/** Measures the load of the platform and of the nodes, in virtual time with fixed seeds. */
 class DistributionReadsTest {
 
     private static final int PLATFORM_LIMIT = 2_000;
@@ -43,9 +43,9 @@
     @Nested
     class WhenEveryNodeBelievesItselfAlone {
 
-        // Story: a network failure at the start leaves 3,500 nodes without a single peer. Each reads its documents at
-        // the
-        // platform itself; if all did so at once, the platform would refuse reads and nobody would get a configuration.
+        // Guards against overload of the platform: after a network failure at the start, 3,500 nodes have no peer and
+        // read their documents at the platform. If all did so at once, the platform would refuse reads and no node
+        // would get a configuration.
         @Test
         void allTogetherStayFarBelowThePlatformsRate() {
             VirtualFleet fleet = fleet(150, 23);
@@ -59,7 +59,7 @@
                     () -> "most reads in a second: " + fleet.platform.mostReadsInASecond());
         }
 
-        // Story: as above, and the platform is down. The nodes' retries must not keep it down when it comes back.
+        // As above, while the platform is down: the nodes' retries must not overload it when it recovers.
         @Test
         void alsoWhileThePlatformIsDown() {
             VirtualFleet fleet = fleet(150, 23);
@@ -83,7 +83,7 @@
         Approvals.verify(String.join("\n", rows));
     }
 
-    /** One row for a fleet of any size; takes minutes and some gigabytes for thousands of nodes. */
+    /** Prints one row for a fleet of any size. For thousands of nodes it takes minutes and some gigabytes. */
     @Test
     @EnabledIfSystemProperty(named = "fleet.services", matches = "\\d+")
     void readsOfTheFleetAskedFor() {
--- a/policy/src/test/java/org/carawaysill/policy/distribution/PropagationTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/PropagationTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The time from a publication to its coming into force on the last of 24 nodes that are able to act: a called service of 8
- * nodes and two that call it, in virtual time.
+ * Measures the time from a publication until it is in force on all of 24 nodes that are not paused: a called service of
+ * 8 nodes and two services that call it, in virtual time.
  */
 class PropagationTest {
 
@@ -81,7 +81,7 @@
         fleet.platform.publish(DEEP, fleet.platform.text(DEEP) + "\nnote " + fleet.nowNanos(), 1);
     }
 
-    /** A paused process keeps its connections and its place in the rank until its silence is noticed. */
+    /** A paused process keeps its connections and its rank in the election until its silence is noticed. */
     private void pauseReaders(int count) {
         ServiceConfiguration roster = fleet.running.values().stream()
                 .flatMap(node -> node.distribution.newest(DEEP).stream())
--- a/policy/src/test/java/org/carawaysill/policy/distribution/TestDocuments.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/TestDocuments.java
@@ -11,7 +11,7 @@
 import org.carawaysill.model.request.Importance;
 import org.carawaysill.model.request.RequestTerms;
 
-/** Documents in a line format of the tests: {@code service NAME}, {@code calls NAME}, {@code copy NODE ZONE}. */
+/** Documents in a line format for tests: {@code service NAME}, {@code calls NAME}, {@code copy NODE ZONE}. */
 final class TestDocuments implements DocumentParser {
 
     private static final RequestTerms TERMS = new RequestTerms(Importance.ORDINARY, false, 2, Duration.ofSeconds(2));
--- a/policy/src/test/java/org/carawaysill/policy/distribution/VirtualFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/VirtualFleet.java
@@ -22,8 +22,8 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Nodes of a few services in virtual time, over a network that can be cut, with processes that can be paused and restarted.
- * A cut swallows messages without a word, as a partition does; a killed process resets its connections.
+ * Simulates nodes of a few services in virtual time, over a network that can be partitioned, with processes that can be
+ * paused and restarted. A partition drops messages silently; a killed process resets its connections.
  */
 final class VirtualFleet {
 
@@ -147,7 +147,7 @@
         return !cutAll && island.contains(one) == island.contains(other) && running.containsKey(other);
     }
 
-    /** How long two nodes have had a connection, or -1. */
+    /** Returns how long two nodes have been connected, or -1 if they are not. */
     long linkedForNanos(NodeName one, NodeName other) {
         Long since = linkedSince.get(link(one, other));
         return since == null || !reach(one, other) ? -1 : now - since;
--- a/policy/src/test/java/org/carawaysill/policy/distribution/VirtualNode.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/VirtualNode.java
@@ -20,7 +20,7 @@
 import org.carawaysill.policy.routing.RoutingSettings;
 import org.carawaysill.policy.time.Moment;
 
-/** One process: distribution, membership and the choice of copies, joined as the engine joins them. */
+/** One process: distribution, membership and the choice of copies, combined in the same way as in the engine. */
 final class VirtualNode implements HeartbeatContent {
 
     private static final LoadReport IDLE = new LoadReport(0, 1, 0, 0);
@@ -69,7 +69,7 @@
         return newest;
     }
 
-    /** Whether a node has told this process, in its last heartbeat, of a version at least as high. */
+    /** Returns whether a node reported this version or a higher one to this process in its last heartbeat. */
     boolean wasTold(NodeName peer, ServiceName document, long version) {
         return told.getOrDefault(peer, Map.of()).getOrDefault(document, 0L) >= version;
     }
--- a/policy/src/test/java/org/carawaysill/policy/distribution/VirtualPlatform.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/VirtualPlatform.java
@@ -12,8 +12,8 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * A configuration service in virtual time that counts reads by second. It can be down, or serve from a replica that has
- * stayed at the first published values.
+ * A configuration service in virtual time that counts reads per second. It can be down, or serve from a stale replica
+ * that has only the first published values.
  */
 final class VirtualPlatform {
 
@@ -25,7 +25,7 @@
 
     private record Published(long version, String text) {}
 
-    /** An open watch; two of the same content are two watches. */
+    /** An open watch. Not a record, since two watches with equal content are distinct. */
     private static final class Watch {
 
         private final ServiceName service;
@@ -84,7 +84,7 @@
         return lastValid.get(service).version;
     }
 
-    /** Reads a document; the returned action ends a watch that has had no answer when its patience is over. */
+    /** Reads a document. The returned action ends the watch if it has no answer when its patience is over. */
     Runnable read(long now, ServiceName service, long known, Consumer<Event> answer) {
         readsBySecond.merge(now / VirtualFleet.SECOND, 1, Integer::sum);
         if (mode == Mode.DOWN) {
