--- a/policy/src/main/java/org/carawaysill/policy/routing/CopySelector.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/CopySelector.java
@@ -18,8 +18,8 @@
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
 /**
- * Chooses the copy that gets a request: of two random ones of the own availability zone and two of the others, the one where
- * the request would lose the least time by waiting and by the way.
+ * Chooses the copy for a request: of two random copies in the own availability zone and two in other zones, the one
+ * with the least expected queueing and network delay.
  *
  * <p>Invariant: a copy that is not usable is never chosen. Not thread safe: one thread owns it.
  */
@@ -37,8 +37,8 @@
      *
      * @param self this node
      * @param zone its availability zone
-     * @param random the source of choices
-     * @param settings how to choose
+     * @param random the source of random choices
+     * @param settings the routing settings
      */
     public CopySelector(NodeName self, AvailabilityZone zone, RandomGenerator random, RoutingSettings settings) {
         this.self = self;
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Takes in a service's roster; of the own service all copies are kept, of another one a subset.
+     * Updates a service's roster. All copies of the own service are used, and a subset of those of another service.
      *
      * @param now nanoseconds on the monotonic clock
      * @param configuration the service's configuration
@@ -82,7 +82,7 @@
      * @param service the service to call
      * @param excluded copies that must not be chosen
      * @param priority the request's place in the order of refusal
-     * @return the node beside the copy, empty where no usable copy is left
+     * @return the node beside the copy; empty if no usable copy is left
      */
     public Optional<NodeName> choose(long now, ServiceName service, Set<NodeName> excluded, Priority priority) {
         List<NodeName> usable = subsets.getOrDefault(service, List.of()).stream()
@@ -107,7 +107,7 @@
         return farCost < nearCost ? far : near;
     }
 
-    /** Those that satisfy a condition, or all where none does. */
+    /** Returns the nodes that satisfy a condition, or all if none does. */
     private static List<NodeName> preferred(List<NodeName> nodes, Predicate<NodeName> condition) {
         List<NodeName> preferred = nodes.stream().filter(condition).toList();
         return preferred.isEmpty() ? nodes : preferred;
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Takes in that a request was sent.
+     * Records that a request was sent.
      *
      * @param now nanoseconds on the monotonic clock
      * @param node the node that got it
@@ -143,11 +143,11 @@
     }
 
     /**
-     * Takes in an answer, a refusal included.
+     * Records an answer, which may be a refusal.
      *
      * @param now nanoseconds on the monotonic clock
      * @param node the node that answered
-     * @param load its load as it answered
+     * @param load its load at the time of the answer
      * @param latencyNanos the time since the request was sent
      */
     public void answered(long now, NodeName node, LoadReport load, long latencyNanos) {
@@ -155,7 +155,7 @@
     }
 
     /**
-     * Takes in that no answer came: the connection was lost or the deadline passed.
+     * Records that a request got no answer because the connection was lost or the deadline passed.
      *
      * @param now nanoseconds on the monotonic clock
      * @param node the node that failed
@@ -165,17 +165,17 @@
     }
 
     /**
-     * Takes in that a request was cancelled by its sender, which says nothing of the copy.
+     * Records that a request was cancelled by its sender, which is no sign of a failing copy.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param node the node that had it
+     * @param node the node to which it was sent
      */
     public void withdrawn(long now, NodeName node) {
         state(node).ifPresent(CopyState::released);
     }
 
     /**
-     * Takes in a load that a node told without a request, by a heartbeat.
+     * Records a load that a node reported in a heartbeat.
      *
      * @param now nanoseconds on the monotonic clock
      * @param node the node
@@ -186,7 +186,7 @@
     }
 
     /**
-     * Takes in whether a node may get new work.
+     * Sets whether a node may receive new work.
      *
      * @param now nanoseconds on the monotonic clock
      * @param node the node
@@ -201,8 +201,8 @@
     }
 
     /**
-     * Gives the copies to which this node should keep connections: all of the own service, of each called service the
-     * chosen subset.
+     * Returns the copies to which this node keeps connections: all copies of the own service, and the chosen subset of
+     * each called service.
      *
      * @return their roster entries
      */
--- a/policy/src/main/java/org/carawaysill/policy/routing/CopyState.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/CopyState.java
@@ -6,7 +6,8 @@
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
 /**
- * What a node knows of a copy: the load it last told, the requests sent to it since, its failures.
+ * A node's known state of a copy: the load that it last reported, the outstanding requests of this node, and its
+ * failures.
  *
  * <p>Invariant: the number of outstanding requests is never negative. Not thread safe: one thread owns it.
  */
@@ -17,10 +18,10 @@
     private static final long ASSUMED_SERVICE_NANOS = Duration.ofMillis(10).toNanos();
     private static final double LATENCY_WEIGHT = 0.1;
 
-    /** After this time what a copy told counts half. */
+    /** The time after which a reported load counts half. */
     private static final double HALF_LIFE_NANOS = Duration.ofSeconds(1).toNanos();
 
-    /** A copy that was away for a shorter time than this, as after a false suspicion, is as warm as before. */
+    /** A copy that was unusable for a shorter time than this, as after a false suspicion, counts as still warm. */
     private static final long STAYS_WARM_NANOS = Duration.ofSeconds(2).toNanos();
 
     private final RoutingSettings settings;
@@ -82,11 +83,11 @@
     }
 
     /**
-     * An answer came: whatever failed before is over, but a copy that comes back does so step by step.
+     * Records an answer. It ends an earlier failure, but the recovered copy returns to its full share gradually.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param load its load as it answered
-     * @param latencyNanos the time that the request took
+     * @param load its load at the time of the answer
+     * @param latencyNanos the latency of the request
      */
     void answered(long now, LoadReport load, long latencyNanos) {
         released();
@@ -101,8 +102,8 @@
     }
 
     /**
-     * No answer came. Of the requests that fail together only the first counts, or one lost connection would keep the
-     * copy away for the longest time.
+     * Records a request without an answer. Of requests that fail together only the first counts; otherwise one lost
+     * connection would lead to the longest backoff.
      *
      * @param now nanoseconds on the monotonic clock
      * @param random the source of jitter
@@ -117,7 +118,10 @@
         avoidUntilNanos = now + backoff / 2 + random.nextLong(backoff / 2 + 1);
     }
 
-    /** Whether it failed and its backoff has not passed, or the one request that tries it again is under way. */
+    /**
+     * Returns whether the copy failed and its backoff has not passed, or the single probe request after the backoff is
+     * outstanding.
+     */
     boolean isAvoided(long now) {
         return now < avoidUntilNanos || failures > 0 && outstanding > 0;
     }
@@ -130,18 +134,18 @@
         return told.cut();
     }
 
-    /** The requests of other nodes that the copy had as it last told its load. */
+    /** Returns the requests of other nodes at the copy when it last reported its load. */
     double othersLoad() {
         return Math.max(0, told.inFlight() + told.queued() - outstandingWhenTold);
     }
 
     /**
-     * Estimates how full the copy would be with one more request.
+     * Estimates the utilisation of the copy with one more request.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param usualLoad the requests that a copy of this service usually has of other nodes; what a copy told counts the
-     *     less the older it is, and this the more
-     * @return requests per request that it can run at a time; above 1 some wait
+     * @param usualLoad the average number of requests of other nodes at a copy of this service; the older the copy's
+     *     report is, the less the report counts and the more this average does
+     * @return the requests divided by the number that it can run concurrently; above 1 some are queued
      */
     double fullness(long now, double usualLoad) {
         double fresh = Math.pow(0.5, (now - toldNanos) / HALF_LIFE_NANOS);
@@ -150,8 +154,8 @@
     }
 
     /**
-     * The part of its full share that a copy gets which was away or has just started: many nodes, each of which holds it
-     * for empty, would else fill a cold copy at once.
+     * Returns the current part of the copy's full share, which rises after a start or an outage. Otherwise many nodes,
+     * each of which sees the copy as idle, would overload a cold copy at once.
      *
      * @param now nanoseconds on the monotonic clock
      * @return a probability that rises to 1
@@ -163,11 +167,11 @@
     }
 
     /**
-     * Estimates the time that a request would lose here: by waiting for a slot, and by the way to another availability
+     * Estimates the delay of a request at this copy: the wait for a slot, and the network delay to another availability
      * zone.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param usualLoad as for the fullness
+     * @param usualLoad the average load, as in {@link #fullness}
      * @return nanoseconds
      */
     double costNanos(long now, double usualLoad) {
--- a/policy/src/main/java/org/carawaysill/policy/routing/CopySubset.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/CopySubset.java
@@ -10,22 +10,23 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * Chooses the copies of a called service to which a node keeps connections, so that their number doesn't grow with the
- * service.
+ * Chooses the copies of a called service to which a node keeps connections, so that the number of connections doesn't
+ * grow with the service.
  *
- * <p>Invariant: the same roster gives the same subset, and a copy that comes or goes changes one place of it. No state;
- * thread safe.
+ * <p>Invariant: the same roster gives the same subset, and adding or removing a copy changes at most one element of it.
+ * Stateless and thread safe.
  */
 final class CopySubset {
 
     private CopySubset() {}
 
     /**
-     * Chooses by rank for this node: in each availability zone the first ones, then the first of all.
+     * Chooses copies by their rank for this node: the highest-ranked ones of each availability zone, then the
+     * highest-ranked remaining ones.
      *
      * @param self the choosing node
      * @param configuration the called service's configuration
-     * @param settings how many
+     * @param settings the size of the subset
      * @return the chosen copies
      */
     static List<CopyEntry> choose(NodeName self, ServiceConfiguration configuration, RoutingSettings settings) {
--- a/policy/src/main/java/org/carawaysill/policy/routing/RendezvousRank.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/RendezvousRank.java
@@ -8,8 +8,8 @@
 /**
  * Ranks nodes for a key by rendezvous hashing (highest random weight).
  *
- * <p>Invariant: every process ranks the same nodes alike for the same key, and a node that comes or goes leaves the order
- * of the others as it is. No state; thread safe.
+ * <p>Invariant: every process ranks the same nodes equally for the same key, and adding or removing a node doesn't
+ * change the order of the others. Stateless and thread safe.
  */
 public final class RendezvousRank {
 
@@ -21,9 +21,9 @@
     /**
      * Orders nodes by their weight for a key.
      *
-     * @param key what is to be placed
+     * @param key the key to place
      * @param nodes the candidates
-     * @return the candidates, the first in rank first
+     * @return the candidates in descending rank
      */
     public static List<NodeName> rank(String key, Collection<NodeName> nodes) {
         long seed = hash(FNV_OFFSET, key);
@@ -46,7 +46,10 @@
         return hash;
     }
 
-    /** The finalizer of SplitMix64; FNV alone leaves names that differ in their last digit close together. */
+    /**
+     * Applies the finalizer of SplitMix64, since FNV alone gives similar hashes for names that differ only in their
+     * last digit.
+     */
     private static long mix(long value) {
         long first = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
         long second = (first ^ (first >>> 27)) * 0x94d049bb133111ebL;
--- a/policy/src/main/java/org/carawaysill/policy/routing/RoutingSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/RoutingSettings.java
@@ -3,24 +3,24 @@
 import java.time.Duration;
 
 /**
- * How a node chooses copies.
+ * The settings for choosing copies.
  *
  * <p>Immutable and thread safe.
  *
- * @param copiesPerService how many copies of a called service a node keeps connections to
- * @param copiesPerZone how many of those, at least, in each availability zone, where there are that many and they fit
- * @param zoneCost what a request to another availability zone costs, in time; zero prefers no zone
- * @param rampUp the time over which a newly usable copy comes to its full share
- * @param failureBackoff how long a copy is avoided after a failure; doubles with each further one
+ * @param copiesPerService the number of copies of a called service to which a node keeps connections
+ * @param copiesPerZone the minimum number of those in each availability zone, if there are that many and they fit
+ * @param zoneCost the additional delay assumed for a request to another availability zone; zero prefers no zone
+ * @param rampUp the time over which a newly usable copy reaches its full share
+ * @param failureBackoff how long a copy is avoided after a failure; doubles with each further failure
  */
 public record RoutingSettings(
         int copiesPerService, int copiesPerZone, Duration zoneCost, Duration rampUp, Duration failureBackoff) {
 
-    /** The settings that the decision record argues for. */
+    /** The default settings, whose reasons are in the decision record. */
     public static final RoutingSettings DEFAULT = builder().build();
 
     /**
-     * Starts from the settings that the decision record argues for.
+     * Returns a builder with the default settings, whose reasons are in the decision record.
      *
      * @return a builder
      */
@@ -53,9 +53,9 @@
         }
 
         /**
-         * Sets the price of another availability zone.
+         * Sets the cost of another availability zone.
          *
-         * @param cost the time there and back
+         * @param cost the round-trip time
          * @return this builder
          */
         public Builder zoneCost(Duration cost) {
@@ -64,9 +64,9 @@
         }
 
         /**
-         * Sets how fast a newly usable copy comes to its full share.
+         * Sets how fast a newly usable copy reaches its full share.
          *
-         * @param duration the time until then
+         * @param duration the time until it does
          * @return this builder
          */
         public Builder rampUp(Duration duration) {
@@ -85,8 +85,7 @@
             return this;
         }
 
-        /**
-         * Finishes.
+        /** Builds the settings.
          *
          * @return the settings
          */
--- a/policy/src/main/java/org/carawaysill/policy/routing/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Chooses the copy that gets a request. */
+/** Chooses the copy for a request. */
 @NullMarked
 package org.carawaysill.policy.routing;
 
--- a/policy/src/test/java/org/carawaysill/policy/routing/Balancer.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/Balancer.java
@@ -8,10 +8,10 @@
 import org.carawaysill.model.request.Priority;
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
-/** One caller's way of choosing among copies. */
+/** One caller's strategy for choosing among copies. */
 abstract class Balancer {
 
-    /** The ways that are compared. */
+    /** The compared strategies. */
     enum Kind {
         RANDOM,
         ROUND_ROBIN,
@@ -88,7 +88,7 @@
         };
     }
 
-    /** Knows only the requests that this caller itself has outstanding. */
+    /** Uses only the caller's own outstanding requests. */
     private abstract static class OwnView extends Balancer {
 
         private final int[] outstanding;
--- a/policy/src/test/java/org/carawaysill/policy/routing/BalancingComparisonTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/BalancingComparisonTest.java
@@ -10,7 +10,10 @@
 import org.carawaysill.policy.routing.VirtualCopies.Trouble;
 import org.junit.jupiter.api.Test;
 
-/** Ways to choose a copy on the same seeds: 24 or 240 callers and 12 copies of 10 slots in 3 zones, 50 ms of work a request. */
+/**
+ * Compares strategies for choosing a copy under the same seeds: 24 or 240 callers and 12 copies with 10 slots each in 3
+ * zones, and a mean service time of 50 ms.
+ */
 class BalancingComparisonTest {
 
     private static final Duration DURATION = Duration.ofSeconds(8);
--- a/policy/src/test/java/org/carawaysill/policy/routing/CopySelectorTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/CopySelectorTest.java
@@ -88,9 +88,8 @@
             assertEquals(Optional.empty(), selector.choose(WARM, new ServiceName("other"), Set.of(), LOW));
         }
 
-        // Story: a copy was replaced and is cold. Each of many callers sees it idle and sends it work at once; it
-        // answers
-        // late, and the requests are lost. A cold copy must get a share that rises.
+        // Guards against overload of a cold copy: a copy was replaced. Each of many callers sees it as idle and sends
+        // work to it at once; it answers late, and the requests are lost. A cold copy must get a share that rises.
         @Test
         void aCopyThatComesBackGetsAShareThatRises() {
             selector.usable(WARM, NEAR, false);
@@ -115,8 +114,9 @@
     @Nested
     class Failures {
 
-        // Story: the connection to a copy is lost with 50 requests on it. The callers see 50 failures, and each further
-        // request sent there would fail too; but counting all 50 would keep the copy away for the longest time.
+        // Guards against too long a backoff: the connection to a copy is lost with 50 requests in flight. The copy must
+        // be avoided, since each further request would fail too, but counting all 50 failures would lead to the longest
+        // backoff.
         @Test
         void aCopyThatFailedIsAvoidedForABackoffThatCountsOneFailure() {
             for (int i = 0; i < 50; i++) {
--- a/policy/src/test/java/org/carawaysill/policy/routing/VirtualCopies.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/VirtualCopies.java
@@ -19,7 +19,7 @@
 import org.carawaysill.model.request.RequestTerms;
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
-/** Copies with slots and a queue, called over zones in virtual time. */
+/** Simulates copies with slots and a queue, called from several zones in virtual time. */
 final class VirtualCopies {
 
     private static final int COPIES = 12;
@@ -31,7 +31,7 @@
     private static final long HEARTBEAT_NANOS = 3_000_000_000L;
     private static final long WARM_NANOS = 5_000_000_000L;
 
-    /** What differs from even load on equal copies. */
+    /** The deviation from even load on equal copies. */
     enum Trouble {
         NONE,
         MOST_CALLERS_IN_ONE_ZONE,
@@ -39,7 +39,7 @@
         ONE_COPY_COLD
     }
 
-    /** What callers saw. */
+    /** The latencies as seen by callers, and the share of requests to other zones. */
     record Result(double meanMillis, double p99Millis, double otherZone) {}
 
     private record Request(int caller, long sentNanos) {}
@@ -84,7 +84,7 @@
         return COPIES;
     }
 
-    /** A cold copy joins after a second. */
+    /** Returns whether a copy is usable; a cold copy becomes usable after one second. */
     boolean isUsable(int copy, long time) {
         return trouble != Trouble.ONE_COPY_COLD || copy != 0 || time > 1_000_000_000L;
     }
