--- a/policy/src/main/java/org/carawaysill/policy/time/SlidingCount.java
+++ b/policy/src/main/java/org/carawaysill/policy/time/SlidingCount.java
@@ -9,35 +9,35 @@
 public final class SlidingCount {
 
     private final int[] counts;
-    private final long partNanos;
-    private long part;
+    private final long intervalNanos;
+    private long currentInterval;
     private int sum;
 
     /**
      * Creates an empty count.
      *
      * @param now the monotonic time
-     * @param partNanos the length of an interval in nanoseconds; 0 counts as 1
-     * @param parts the number of intervals in the window, including the current one
+     * @param intervalNanos the length of an interval in nanoseconds; 0 counts as 1
+     * @param intervals the number of intervals in the window, including the current one
      */
-    public SlidingCount(long now, long partNanos, int parts) {
-        this.partNanos = Math.max(1, partNanos);
-        counts = new int[parts];
-        part = Math.floorDiv(now, this.partNanos);
+    public SlidingCount(long now, long intervalNanos, int intervals) {
+        this.intervalNanos = Math.max(1, intervalNanos);
+        counts = new int[intervals];
+        currentInterval = Math.floorDiv(now, this.intervalNanos);
     }
 
-    private void moveTo(long now) {
-        long newPart = Math.floorDiv(now, partNanos);
-        for (long steps = Math.min(newPart - part, counts.length); steps > 0; steps--) {
-            part++;
-            sum -= counts[index(part)];
-            counts[index(part)] = 0;
+    private void advanceTo(long now) {
+        long newInterval = Math.floorDiv(now, intervalNanos);
+        for (long steps = Math.min(newInterval - currentInterval, counts.length); steps > 0; steps--) {
+            currentInterval++;
+            sum -= counts[index(currentInterval)];
+            counts[index(currentInterval)] = 0;
         }
-        part = Math.max(part, newPart);
+        currentInterval = Math.max(currentInterval, newInterval);
     }
 
-    private int index(long ofPart) {
-        return (int) Math.floorMod(ofPart, (long) counts.length);
+    private int index(long interval) {
+        return (int) Math.floorMod(interval, (long) counts.length);
     }
 
     /**
@@ -46,8 +46,8 @@
      * @param now the monotonic time
      */
     public void add(long now) {
-        moveTo(now);
-        counts[index(part)]++;
+        advanceTo(now);
+        counts[index(currentInterval)]++;
         sum++;
     }
 
@@ -58,9 +58,9 @@
      * @param countedNanos when it was counted
      */
     public void takeBack(long now, long countedNanos) {
-        moveTo(now);
-        long counted = Math.floorDiv(countedNanos, partNanos);
-        if (part - counted < counts.length && counts[index(counted)] > 0) {
+        advanceTo(now);
+        long counted = Math.floorDiv(countedNanos, intervalNanos);
+        if (currentInterval - counted < counts.length && counts[index(counted)] > 0) {
             counts[index(counted)]--;
             sum--;
         }
@@ -73,7 +73,7 @@
      * @return the count
      */
     public int sum(long now) {
-        moveTo(now);
+        advanceTo(now);
         return sum;
     }
 
@@ -85,10 +85,10 @@
      * @return the count
      */
     public int since(long now, long fromNanos) {
-        moveTo(now);
-        long first = Math.max(Math.floorDiv(fromNanos, partNanos), part - counts.length + 1);
+        advanceTo(now);
+        long first = Math.max(Math.floorDiv(fromNanos, intervalNanos), currentInterval - counts.length + 1);
         int recent = 0;
-        for (long each = first; each <= part; each++) {
+        for (long each = first; each <= currentInterval; each++) {
             recent += counts[index(each)];
         }
         return recent;
