--- a/policy/src/main/java/org/carawaysill/policy/routing/CopySelector.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/CopySelector.java
@@ -61,7 +61,7 @@
             copies.computeIfAbsent(
                             copy.node(),
                             _ -> new CopyState(settings, copy.zone().equals(zone), copy.slots()))
-                    .slots(copy.slots());
+                    .setSlots(copy.slots());
         }
         copies.keySet().retainAll(wanted().stream().map(CopyEntry::node).collect(Collectors.toSet()));
     }
@@ -89,21 +89,21 @@
                 .map(CopyEntry::node)
                 .filter(node -> copies.get(node).isUsable() && !excluded.contains(node))
                 .toList();
-        List<NodeName> sound = preferred(usable, node -> !copies.get(node).isAvoided(now));
-        List<NodeName> admitting = preferred(sound, node -> copies.get(node).admits(priority));
+        List<NodeName> healthy = preferred(usable, node -> !copies.get(node).isAvoided(now));
+        List<NodeName> admitting = preferred(healthy, node -> copies.get(node).admits(priority));
         List<NodeName> candidates = preferred(
                 admitting, node -> random.nextDouble() < copies.get(node).share(now));
-        double usualLoad = candidates.stream()
+        double averageLoad = candidates.stream()
                 .mapToDouble(node -> copies.get(node).othersLoad())
                 .average()
                 .orElse(0);
-        Optional<NodeName> near = betterOfTwo(now, inZone(candidates, true), usualLoad);
-        Optional<NodeName> far = betterOfTwo(now, inZone(candidates, false), usualLoad);
+        Optional<NodeName> near = betterOfTwo(now, inZone(candidates, true), averageLoad);
+        Optional<NodeName> far = betterOfTwo(now, inZone(candidates, false), averageLoad);
         if (near.isEmpty() || far.isEmpty()) {
             return near.or(() -> far);
         }
-        double nearCost = copies.get(near.get()).costNanos(now, usualLoad);
-        double farCost = copies.get(far.get()).costNanos(now, usualLoad);
+        double nearCost = copies.get(near.get()).costNanos(now, averageLoad);
+        double farCost = copies.get(far.get()).costNanos(now, averageLoad);
         return farCost < nearCost ? far : near;
     }
 
@@ -119,7 +119,7 @@
                 .toList();
     }
 
-    private Optional<NodeName> betterOfTwo(long now, List<NodeName> nodes, double usualLoad) {
+    private Optional<NodeName> betterOfTwo(long now, List<NodeName> nodes, double averageLoad) {
         if (nodes.size() < 2) {
             return nodes.stream().findFirst();
         }
@@ -127,8 +127,8 @@
         int second = (first + 1 + random.nextInt(nodes.size() - 1)) % nodes.size();
         NodeName one = nodes.get(first);
         NodeName other = nodes.get(second);
-        boolean firstIsEmptier =
-                copies.get(one).fullness(now, usualLoad) <= copies.get(other).fullness(now, usualLoad);
+        boolean firstIsEmptier = copies.get(one).utilisation(now, averageLoad)
+                <= copies.get(other).utilisation(now, averageLoad);
         return Optional.of(firstIsEmptier ? one : other);
     }
 
@@ -182,7 +182,7 @@
      * @param load its load
      */
     public void heard(long now, NodeName node, LoadReport load) {
-        state(node).ifPresent(copy -> copy.told(now, load));
+        state(node).ifPresent(copy -> copy.report(now, load));
     }
 
     /**
@@ -193,7 +193,7 @@
      * @param mayGetNewWork whether it may
      */
     public void usable(long now, NodeName node, boolean mayGetNewWork) {
-        state(node).ifPresent(copy -> copy.usable(now, mayGetNewWork));
+        state(node).ifPresent(copy -> copy.setUsable(now, mayGetNewWork));
     }
 
     private Optional<CopyState> state(NodeName node) {
--- a/policy/src/main/java/org/carawaysill/policy/routing/CopyState.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/CopyState.java
@@ -13,16 +13,16 @@
  */
 final class CopyState {
 
-    private static final double SHARE_AT_START = 0.1;
-    private static final long LONGEST_BACKOFF_NANOS = Duration.ofSeconds(10).toNanos();
+    private static final double INITIAL_SHARE = 0.1;
+    private static final long MAX_BACKOFF_NANOS = Duration.ofSeconds(10).toNanos();
     private static final long ASSUMED_SERVICE_NANOS = Duration.ofMillis(10).toNanos();
     private static final double LATENCY_WEIGHT = 0.1;
 
     /** The time after which a reported load counts half. */
-    private static final double HALF_LIFE_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final double REPORT_HALF_LIFE_NANOS = Duration.ofSeconds(1).toNanos();
 
     /** A copy that was unusable for a shorter time than this, as after a false suspicion, counts as still warm. */
-    private static final long STAYS_WARM_NANOS = Duration.ofSeconds(2).toNanos();
+    private static final long MAX_WARM_ABSENCE_NANOS = Duration.ofSeconds(2).toNanos();
 
     private final RoutingSettings settings;
     private final boolean sameZone;
@@ -33,23 +33,23 @@
     private long rampSinceNanos = Long.MIN_VALUE / 2;
     private long avoidUntilNanos = Long.MIN_VALUE;
     private int failures;
-    private LoadReport told;
-    private long toldNanos = Long.MIN_VALUE / 2;
-    private int outstandingWhenTold;
+    private LoadReport report;
+    private long reportNanos = Long.MIN_VALUE / 2;
+    private int outstandingAtReport;
     private double serviceNanos = ASSUMED_SERVICE_NANOS;
 
     CopyState(RoutingSettings settings, boolean sameZone, int slots) {
         this.settings = settings;
         this.sameZone = sameZone;
         this.slots = slots;
-        this.told = new LoadReport(0, slots, 0, 0);
+        this.report = new LoadReport(0, slots, 0, 0);
     }
 
     boolean isInSameZone() {
         return sameZone;
     }
 
-    void slots(int published) {
+    void setSlots(int published) {
         slots = published;
     }
 
@@ -57,11 +57,11 @@
         return usable;
     }
 
-    void usable(long now, boolean nowUsable) {
+    void setUsable(long now, boolean nowUsable) {
         if (nowUsable == usable) {
             return;
         }
-        if (nowUsable && now - changedNanos > STAYS_WARM_NANOS) {
+        if (nowUsable && now - changedNanos > MAX_WARM_ABSENCE_NANOS) {
             rampSinceNanos = now;
         }
         usable = nowUsable;
@@ -76,10 +76,10 @@
         outstanding = Math.max(0, outstanding - 1);
     }
 
-    void told(long now, LoadReport load) {
-        told = load;
-        toldNanos = now;
-        outstandingWhenTold = outstanding;
+    void report(long now, LoadReport load) {
+        report = load;
+        reportNanos = now;
+        outstandingAtReport = outstanding;
     }
 
     /**
@@ -91,7 +91,7 @@
      */
     void answered(long now, LoadReport load, long latencyNanos) {
         released();
-        told(now, load);
+        report(now, load);
         if (load.queued() == 0) {
             serviceNanos += LATENCY_WEIGHT * (latencyNanos - serviceNanos);
         }
@@ -113,7 +113,7 @@
         if (now < avoidUntilNanos) {
             return;
         }
-        long backoff = Math.min(LONGEST_BACKOFF_NANOS, settings.failureBackoff().toNanos() << Math.min(failures, 8));
+        long backoff = Math.min(MAX_BACKOFF_NANOS, settings.failureBackoff().toNanos() << Math.min(failures, 8));
         failures++;
         avoidUntilNanos = now + backoff / 2 + random.nextLong(backoff / 2 + 1);
     }
@@ -127,30 +127,30 @@
     }
 
     boolean admits(Priority priority) {
-        return told.cut() <= priority.level();
+        return report.cut() <= priority.level();
     }
 
     int cut() {
-        return told.cut();
+        return report.cut();
     }
 
     /** Returns the requests of other nodes at the copy when it last reported its load. */
     double othersLoad() {
-        return Math.max(0, told.inFlight() + told.queued() - outstandingWhenTold);
+        return Math.max(0, report.inFlight() + report.queued() - outstandingAtReport);
     }
 
     /**
      * Estimates the utilisation of the copy with one more request.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param usualLoad the average number of requests of other nodes at a copy of this service; the older the copy's
+     * @param averageLoad the average number of requests of other nodes at a copy of this service; the older the copy's
      *     report is, the less the report counts and the more this average does
      * @return the requests divided by the number that it can run concurrently; above 1 some are queued
      */
-    double fullness(long now, double usualLoad) {
-        double fresh = Math.pow(0.5, (now - toldNanos) / HALF_LIFE_NANOS);
-        double others = usualLoad + (othersLoad() - usualLoad) * fresh;
-        return (others + outstanding + 1) / Math.max(1, Math.min(slots, told.limit()));
+    double utilisation(long now, double averageLoad) {
+        double fresh = Math.pow(0.5, (now - reportNanos) / REPORT_HALF_LIFE_NANOS);
+        double others = averageLoad + (othersLoad() - averageLoad) * fresh;
+        return (others + outstanding + 1) / Math.max(1, Math.min(slots, report.limit()));
     }
 
     /**
@@ -163,7 +163,7 @@
     double share(long now) {
         double warm =
                 (double) (now - rampSinceNanos) / Math.max(1, settings.rampUp().toNanos());
-        return Math.clamp(warm, SHARE_AT_START, 1);
+        return Math.clamp(warm, INITIAL_SHARE, 1);
     }
 
     /**
@@ -171,11 +171,11 @@
      * zone.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param usualLoad the average load, as in {@link #fullness}
+     * @param averageLoad the average load, as in {@link #utilisation}
      * @return nanoseconds
      */
-    double costNanos(long now, double usualLoad) {
-        double wait = Math.max(0, fullness(now, usualLoad) - 1) * serviceNanos;
+    double costNanos(long now, double averageLoad) {
+        double wait = Math.max(0, utilisation(now, averageLoad) - 1) * serviceNanos;
         return sameZone ? wait : wait + settings.zoneCost().toNanos();
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/routing/CopySubset.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/CopySubset.java
@@ -46,12 +46,12 @@
         return chosen;
     }
 
-    private static void fillZones(List<CopyEntry> ranked, List<CopyEntry> chosen, int perZone, int most) {
+    private static void fillZones(List<CopyEntry> ranked, List<CopyEntry> chosen, int perZone, int limit) {
         Map<AvailabilityZone, Integer> counts = new HashMap<>();
         chosen.forEach(copy -> counts.merge(copy.zone(), 1, Integer::sum));
         for (CopyEntry copy : ranked) {
-            boolean zoneShort = counts.getOrDefault(copy.zone(), 0) < perZone;
-            if (zoneShort && chosen.size() < most && !chosen.contains(copy)) {
+            boolean zoneHasTooFew = counts.getOrDefault(copy.zone(), 0) < perZone;
+            if (zoneHasTooFew && chosen.size() < limit && !chosen.contains(copy)) {
                 counts.merge(copy.zone(), 1, Integer::sum);
                 chosen.add(copy);
             }
--- a/policy/src/test/java/org/carawaysill/policy/routing/CopySelectorTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/CopySelectorTest.java
@@ -155,7 +155,7 @@
     class Load {
 
         @Test
-        void theOwnZoneIsPreferredWhileItHasRoom() {
+        void theOwnZoneIsPreferredWhileItHasFreeSlots() {
             for (int i = 0; i < 9; i++) {
                 assertEquals(Map.of(NEAR, 1), choices(WARM, 1));
                 selector.sent(WARM, NEAR);
@@ -163,7 +163,7 @@
         }
 
         @Test
-        void anotherZoneIsChosenWhenTheQueueCostsMoreThanTheWay() {
+        void anotherZoneIsChosenWhenTheQueueCostsMoreThanTheNetwork() {
             selector.heard(WARM, NEAR, new LoadReport(10, 10, 20, 0));
             selector.heard(WARM, FAR, IDLE);
             selector.heard(WARM, node(2), IDLE);
--- a/policy/src/test/java/org/carawaysill/policy/routing/VirtualCopies.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/VirtualCopies.java
@@ -134,12 +134,12 @@
         int copy = balancers.get(caller).choose(now);
         balancers.get(caller).sent(now, copy);
         otherZone += zone(caller).equals(zone(copy)) ? 0 : 1;
-        at(now + way(caller, copy), () -> enter(copy, request));
+        at(now + networkDelayNanos(caller, copy), () -> enter(copy, request));
     }
 
     private void sendHeartbeat(int copy, Balancer to, long end) {
-        LoadReport told = load(copy);
-        at(now + FAR_NANOS, () -> to.heard(now, copy, told));
+        LoadReport reported = load(copy);
+        at(now + FAR_NANOS, () -> to.heard(now, copy, reported));
         if (now < end) {
             at(now + HEARTBEAT_NANOS, () -> sendHeartbeat(copy, to, end));
         }
@@ -149,7 +149,7 @@
         return new LoadReport(running[copy], SLOTS, waiting.get(copy).size(), 0);
     }
 
-    private static long way(int caller, int copy) {
+    private static long networkDelayNanos(int caller, int copy) {
         return zone(caller).equals(zone(copy)) ? NEAR_NANOS : FAR_NANOS;
     }
 
@@ -177,11 +177,11 @@
 
     private void finish(int copy, Request request) {
         running[copy]--;
-        LoadReport told = load(copy);
-        at(now + way(request.caller, copy), () -> {
+        LoadReport reported = load(copy);
+        at(now + networkDelayNanos(request.caller, copy), () -> {
             long latency = now - request.sentNanos;
             latencies.add(latency);
-            balancers.get(request.caller).answered(now, copy, told, latency);
+            balancers.get(request.caller).answered(now, copy, reported, latency);
         });
         if (!waiting.get(copy).isEmpty()) {
             start(copy, waiting.get(copy).poll());
