--- a/policy/src/main/java/org/carawaysill/policy/distribution/Adoption.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/Adoption.java
@@ -39,15 +39,15 @@
      * @param text the text
      * @return the counts and log lines
      */
-    List<Effect> check(ServiceName service, long version, String text) {
-        if (!isNews(service, version)) {
+    List<Effect> checkAndStore(ServiceName service, long version, String text) {
+        if (!isNewVersion(service, version)) {
             return List.of();
         }
         return switch (parser.parse(text, version)) {
             case DocumentParser.Verdict.Valid valid
             when !valid.configuration().service().equals(service) ->
                 refuse(service, new RefusedDocument(version, "it names another service"));
-            case DocumentParser.Verdict.Valid valid -> hold(valid.configuration(), text);
+            case DocumentParser.Verdict.Valid valid -> store(valid.configuration(), text);
             case DocumentParser.Verdict.Invalid invalid ->
                 refuse(service, new RefusedDocument(version, invalid.message()));
         };
@@ -57,8 +57,8 @@
         return revision;
     }
 
-    boolean isNews(ServiceName service, long version) {
-        return documents.follows(service) && documents.of(service).isNews(version);
+    boolean isNewVersion(ServiceName service, long version) {
+        return documents.follows(service) && documents.of(service).isNewVersion(version);
     }
 
     /**
@@ -68,16 +68,16 @@
      * @param text its text
      * @return the counts and log lines
      */
-    List<Effect> hold(ServiceConfiguration configuration, String text) {
+    List<Effect> store(ServiceConfiguration configuration, String text) {
         ServiceName service = configuration.service();
-        if (!documents.follows(service) || !documents.of(service).hold(configuration, text)) {
+        if (!documents.follows(service) || !documents.of(service).store(configuration, text)) {
             return List.of();
         }
         revision++;
         if (service.equals(documents.own())) {
-            documents.followCalls();
+            documents.updateFollowed();
         }
-        return gate.isOpen() ? bringAllIntoForce() : List.of();
+        return gate.isOpen() ? putAllInForce() : List.of();
     }
 
     /**
@@ -96,22 +96,22 @@
     }
 
     /** Puts all stored newer versions in force. */
-    List<Effect> bringAllIntoForce() {
+    List<Effect> putAllInForce() {
         List<Effect> effects = new ArrayList<>();
         for (ServiceName service : documents.followed()) {
-            effects.addAll(bringIntoForce(documents.of(service)));
+            effects.addAll(putInForce(documents.of(service)));
         }
         return effects;
     }
 
-    private List<Effect> bringIntoForce(FollowedDocument document) {
+    private List<Effect> putInForce(FollowedDocument document) {
         if (document.newest().equals(document.inForce())) {
             return List.of();
         }
         if (document.version() <= document.inForceVersion()) {
             return List.of(new Effect.Count(Invariant.VERSION_NEVER_FALLS));
         }
-        document.bringIntoForce();
+        document.putInForce();
         revision++;
         String line = "version " + document.version() + " of " + document.service() + " is in force";
         return List.of(new Effect.Count(ConfigurationCount.ADOPTED), log(line));
--- a/policy/src/main/java/org/carawaysill/policy/distribution/ConfigurationDistribution.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/ConfigurationDistribution.java
@@ -44,7 +44,7 @@
     private boolean started;
 
     /** Whether an event may affect the elections, the reads, the requests to other nodes or the starting gate. */
-    private boolean reconsider;
+    private boolean reevaluate;
 
     private long nextWakeNanos = Long.MIN_VALUE;
 
@@ -68,7 +68,7 @@
         this.documents = new DocumentSet(own);
         this.exchange = new PeerExchange(documents, random);
         this.reads = new PlatformReads(settings, random);
-        this.gate = new StartingGate(self, settings.startingBound());
+        this.gate = new StartingGate(self, settings.startTimeout());
         this.adoption = new Adoption(self, parser, documents, gate);
         this.answers = new PlatformAnswers(documents, adoption, exchange, reads);
         this.peerDocuments = new PeerDocuments(documents, adoption, exchange);
@@ -84,38 +84,38 @@
     public List<Effect> handle(Moment now, Event event) {
         if (!started) {
             started = true;
-            reads.start(now.nanos(), documents.own());
+            reads.scheduleFirstRead(now.nanos(), documents.own());
         }
-        List<Effect> effects = new ArrayList<>(take(now.nanos(), event));
-        if (reconsider || now.nanos() >= nextWakeNanos) {
-            reconsider = false;
+        List<Effect> effects = new ArrayList<>(dispatch(now.nanos(), event));
+        if (reevaluate || now.nanos() >= nextWakeNanos) {
+            reevaluate = false;
             effects.addAll(wakeUp(now.nanos()));
         }
         return effects;
     }
 
-    private List<Effect> take(long now, Event event) {
+    private List<Effect> dispatch(long now, Event event) {
         return switch (event) {
-            case Event.ConfigurationRead read -> reconsiderAfter(answers.take(now, read));
-            case Event.ConfigurationUnchanged unchanged -> reconsiderAfter(answers.take(now, unchanged));
-            case Event.ConfigurationRefused refusal -> reconsiderAfter(answers.take(now, refusal));
-            case Event.ConfigurationReadFailed failed -> reconsiderAfter(answers.take(now, failed));
+            case Event.ConfigurationRead read -> reevaluateAfter(answers.handle(now, read));
+            case Event.ConfigurationUnchanged unchanged -> reevaluateAfter(answers.handle(now, unchanged));
+            case Event.ConfigurationRefused refusal -> reevaluateAfter(answers.handle(now, refusal));
+            case Event.ConfigurationReadFailed failed -> reevaluateAfter(answers.handle(now, failed));
             case Event.VmListRead read -> {
                 gate.vmList(read.list());
-                reads.fleet(now, read.list().states().size());
-                yield reconsiderAfter(List.of());
+                reads.fleetSize(now, read.list().states().size());
+                yield reevaluateAfter(List.of());
             }
             case Event.PeerConnected peer -> {
                 exchange.connected(now, peer.peer());
-                yield reconsiderAfter(List.of());
+                yield reevaluateAfter(List.of());
             }
             case Event.PeerLost peer -> {
                 exchange.lost(peer.peer());
-                yield reconsiderAfter(List.of());
+                yield reevaluateAfter(List.of());
             }
             case Event.PeerReceived received -> {
-                exchange.heard(now, received.from());
-                yield take(now, received.from(), received.message());
+                exchange.recordContact(now, received.from());
+                yield dispatch(now, received.from(), received.message());
             }
             case Event.CallerRequest _,
                     Event.CopyCall _,
@@ -127,17 +127,17 @@
         };
     }
 
-    private List<Effect> take(long now, NodeName from, PeerMessage message) {
+    private List<Effect> dispatch(long now, NodeName from, PeerMessage message) {
         return switch (message) {
             case Heartbeat heartbeat -> {
-                boolean news = exchange.told(from, heartbeat.versions());
-                reconsider = news || !gate.isOpen();
+                boolean hasNewVersion = exchange.recordVersions(from, heartbeat.versions());
+                reevaluate = hasNewVersion || !gate.isOpen();
                 yield List.of();
             }
             case ConfigurationWanted wanted ->
                 exchange.answer(from, wanted).stream().toList();
-            case ConfigurationDocument document -> reconsiderAfter(peerDocuments.take(from, document));
-            case ConfigurationChange change -> reconsiderAfter(peerDocuments.take(now, from, change));
+            case ConfigurationDocument document -> reevaluateAfter(peerDocuments.handle(from, document));
+            case ConfigurationChange change -> reevaluateAfter(peerDocuments.handle(now, from, change));
             case PeerMessage.PeerRequest _,
                     PeerMessage.PeerAnswer _,
                     PeerMessage.CancelAttempt _,
@@ -157,23 +157,23 @@
         };
     }
 
-    private List<Effect> reconsiderAfter(List<Effect> effects) {
-        reconsider = true;
+    private List<Effect> reevaluateAfter(List<Effect> effects) {
+        reevaluate = true;
         return effects;
     }
 
     private List<Effect> wakeUp(long now) {
         reads.follow(documents.followed());
         electReaders(now);
-        List<Effect> effects = new ArrayList<>(exchange.askForWhatOthersHave(now));
-        if (gate.tryOpen(now, documents.newestOwn(), exchange::answered, exchange.behind(now))) {
-            effects.addAll(adoption.bringAllIntoForce());
+        List<Effect> effects = new ArrayList<>(exchange.requestNewerVersions(now));
+        if (gate.tryOpen(now, documents.newestOwn(), exchange::hasReported, exchange.isBehind(now))) {
+            effects.addAll(adoption.putAllInForce());
         }
-        effects.addAll(reads.start(
+        effects.addAll(reads.startDue(
                 now,
                 documents.own(),
                 service -> mayRead(now, service),
-                service -> documents.of(service).settledVersion()));
+                service -> documents.of(service).highestCheckedVersion()));
         nextWakeNanos =
                 Math.min(now + ELECTION_INTERVAL_NANOS, Math.min(reads.nextWakeNanos(), gate.nextWakeNanos(now)));
         return effects;
@@ -181,7 +181,7 @@
 
     /** A node that is receiving its first document from a peer need not read it from the platform too. */
     private boolean mayRead(long now, ServiceName service) {
-        return documents.of(service).newest().isPresent() || !exchange.pulling(now, service);
+        return documents.of(service).newest().isPresent() || !exchange.isRequestPending(now, service);
     }
 
     private void electReaders(long now) {
@@ -189,14 +189,15 @@
         if (own.isEmpty()) {
             return;
         }
-        Collection<NodeName> candidates = new HashSet<>(exchange.neighbours(now));
+        Collection<NodeName> candidates = new HashSet<>(exchange.nodesInContact(now));
         candidates.add(self);
-        reads.neighbours(now, candidates.size());
+        reads.nodesInContact(now, candidates.size());
         for (ServiceName service : documents.followed()) {
             boolean elected = ReaderElection.elect(service, own.get(), candidates, settings.readersPerService())
                     .contains(self);
-            boolean broughtByCalled = !service.equals(documents.own()) && exchange.hearsCalled(now, service);
-            reads.role(now, service, elected && !broughtByCalled);
+            boolean sentByCalledService =
+                    !service.equals(documents.own()) && exchange.isInContactWithCalled(now, service);
+            reads.setReader(now, service, elected && !sentByCalledService);
         }
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/distribution/DistributionSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DistributionSettings.java
@@ -12,14 +12,14 @@
  * @param auditInterval the mean interval between reads of a service's document by nodes of the service that don't watch
  *     it
  * @param fleetReadsPerSecond the limit of the fleet's total reads at the platform when every node reads for itself
- * @param startingBound how long a starting node waits for the answers of all other nodes before a majority suffices
+ * @param startTimeout how long a starting node waits for the answers of all other nodes before a majority suffices
  */
 public record DistributionSettings(
         int readersPerService,
         Duration patience,
         Duration auditInterval,
         int fleetReadsPerSecond,
-        Duration startingBound) {
+        Duration startTimeout) {
 
     /** The default settings, whose reasons are in the decision record. */
     public static final DistributionSettings DEFAULT = builder().build();
@@ -40,7 +40,7 @@
         private Duration patience = Duration.ofSeconds(30);
         private Duration auditInterval = Duration.ofSeconds(5);
         private int fleetReadsPerSecond = 800;
-        private Duration startingBound = Duration.ofSeconds(3);
+        private Duration startTimeout = Duration.ofSeconds(3);
 
         private Builder() {}
 
@@ -94,8 +94,8 @@
          * @param duration the time after which a majority of answers suffices
          * @return this builder
          */
-        public Builder startingBound(Duration duration) {
-            startingBound = duration;
+        public Builder startTimeout(Duration duration) {
+            startTimeout = duration;
             return this;
         }
 
@@ -105,7 +105,7 @@
          */
         public DistributionSettings build() {
             return new DistributionSettings(
-                    readersPerService, patience, auditInterval, fleetReadsPerSecond, startingBound);
+                    readersPerService, patience, auditInterval, fleetReadsPerSecond, startTimeout);
         }
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/DocumentHistory.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DocumentHistory.java
@@ -20,9 +20,9 @@
  */
 final class DocumentHistory {
 
-    private static final int EARLIER_TEXTS = 4;
-    private static final int EARLIER_CHARACTERS = 2_000_000;
-    private static final int BYTES_PER_EDIT = 8;
+    private static final int MAX_EARLIER_TEXTS = 4;
+    private static final int MAX_EARLIER_CHARACTERS = 2_000_000;
+    private static final int OVERHEAD_BYTES_PER_EDIT = 8;
 
     private final ServiceName service;
     private final Deque<Text> earlier = new ArrayDeque<>();
@@ -37,7 +37,7 @@
         newest.ifPresent(earlier::addFirst);
         newest = Optional.of(new Text(version, text));
         changes.clear();
-        while (earlier.size() > EARLIER_TEXTS || charactersOfEarlier() > EARLIER_CHARACTERS) {
+        while (earlier.size() > MAX_EARLIER_TEXTS || charactersOfEarlier() > MAX_EARLIER_CHARACTERS) {
             earlier.removeLast();
         }
     }
@@ -62,7 +62,8 @@
             return Optional.empty();
         }
         Text text = newest.get();
-        Optional<ConfigurationChange> change = change(knownVersion).filter(found -> size(found) < text.text.length());
+        Optional<ConfigurationChange> change =
+                change(knownVersion).filter(found -> estimatedSize(found) < text.text.length());
         return Optional.of(
                 change.isPresent() ? change.get() : new ConfigurationDocument(service, text.version, text.text));
     }
@@ -115,9 +116,9 @@
      * @param change the change
      * @return the size in bytes, including a fixed overhead per edit
      */
-    static int size(ConfigurationChange change) {
+    static int estimatedSize(ConfigurationChange change) {
         return change.edits().stream()
-                .mapToInt(edit -> BYTES_PER_EDIT
+                .mapToInt(edit -> OVERHEAD_BYTES_PER_EDIT
                         + edit.addedLines().stream()
                                 .mapToInt(line -> line.length() + 2)
                                 .sum())
--- a/policy/src/main/java/org/carawaysill/policy/distribution/DocumentSet.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DocumentSet.java
@@ -47,7 +47,7 @@
     }
 
     /** Follows the services that the newest document of the own service calls. */
-    void followCalls() {
+    void updateFollowed() {
         Set<ServiceName> services = new TreeSet<>(Set.of(own));
         newestOwn().ifPresent(configuration -> services.addAll(configuration.calls()));
         followed = services;
--- a/policy/src/main/java/org/carawaysill/policy/distribution/FollowedDocument.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/FollowedDocument.java
@@ -51,7 +51,7 @@
     }
 
     /** Returns the highest version that is stored or was refused; only higher ones at the platform are new. */
-    long settledVersion() {
+    long highestCheckedVersion() {
         return Math.max(version(), refused.map(RefusedDocument::version).orElse(0L));
     }
 
@@ -63,7 +63,7 @@
      * @param other the version
      * @return whether this node should adopt it
      */
-    boolean isNews(long other) {
+    boolean isNewVersion(long other) {
         return other > version()
                 && refused.map(RefusedDocument::version)
                         .filter(version -> version == other)
@@ -77,7 +77,7 @@
      * @param text its text
      * @return whether it is newer than the stored one
      */
-    boolean hold(ServiceConfiguration configuration, String text) {
+    boolean store(ServiceConfiguration configuration, String text) {
         if (configuration.version() <= version()) {
             return false;
         }
@@ -94,7 +94,7 @@
      * @return whether the refusal is new
      */
     boolean refuse(RefusedDocument document) {
-        if (document.version() <= settledVersion()) {
+        if (document.version() <= highestCheckedVersion()) {
             return false;
         }
         refused = Optional.of(document);
@@ -102,7 +102,7 @@
     }
 
     /** Puts the newest version in force. */
-    void bringIntoForce() {
+    void putInForce() {
         inForce = newest;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/LineDifference.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/LineDifference.java
@@ -15,19 +15,19 @@
 final class LineDifference {
 
     /** The number of consecutive equal lines at which the texts count as matching again. */
-    private static final int RUN = 3;
+    private static final int MATCHING_LINES = 3;
 
     /** The maximum number of lines that one edit removes and adds in total before the rest is replaced. */
-    private static final int WINDOW = 400;
+    private static final int MAX_CHANGED_LINES = 400;
 
-    private static final int COMPARISONS = 500_000;
+    private static final int MAX_COMPARISONS = 500_000;
 
     private final List<String> base;
     private final List<String> target;
     private final int baseEnd;
     private final int targetEnd;
     private final List<LineEdit> edits = new ArrayList<>();
-    private int comparisonsLeft = COMPARISONS;
+    private int comparisonsLeft = MAX_COMPARISONS;
 
     private LineDifference(List<String> base, List<String> target) {
         this.base = base;
@@ -65,7 +65,7 @@
      * @return the replaced ranges, in ascending order
      */
     static List<LineEdit> between(List<String> base, List<String> target) {
-        return new LineDifference(base, target).find();
+        return new LineDifference(base, target).computeEdits();
     }
 
     /**
@@ -101,33 +101,33 @@
         return suffix;
     }
 
-    private List<LineEdit> find() {
+    private List<LineEdit> computeEdits() {
         Position position = new Position(0, 0);
         while (position.inBase < baseEnd || position.inTarget < targetEnd) {
             if (sameLine(position.inBase, position.inTarget)) {
                 position = new Position(position.inBase + 1, position.inTarget + 1);
             } else {
-                position = replaceFrom(position);
+                position = addEdit(position);
             }
         }
         return edits;
     }
 
-    private Position replaceFrom(Position from) {
-        Position next = whereTextsMeet(from);
+    private Position addEdit(Position from) {
+        Position next = nextMatch(from);
         edits.add(new LineEdit(
                 from.inBase, next.inBase - from.inBase, List.copyOf(target.subList(from.inTarget, next.inTarget))));
         return next;
     }
 
-    private Position whereTextsMeet(Position from) {
-        for (int distance = 1; distance <= WINDOW; distance++) {
+    private Position nextMatch(Position from) {
+        for (int distance = 1; distance <= MAX_CHANGED_LINES; distance++) {
             for (int removed = 0; removed <= distance; removed++) {
                 Position candidate = new Position(from.inBase + removed, from.inTarget + distance - removed);
                 if (comparisonsLeft <= 0) {
                     return new Position(baseEnd, targetEnd);
                 }
-                if (runsTogether(candidate)) {
+                if (matchesAt(candidate)) {
                     return candidate;
                 }
             }
@@ -135,8 +135,8 @@
         return new Position(baseEnd, targetEnd);
     }
 
-    private boolean runsTogether(Position candidate) {
-        for (int i = 0; i < RUN; i++) {
+    private boolean matchesAt(Position candidate) {
+        for (int i = 0; i < MATCHING_LINES; i++) {
             int inBase = candidate.inBase + i;
             int inTarget = candidate.inTarget + i;
             if (inBase == baseEnd && inTarget == targetEnd) {
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PeerDocuments.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PeerDocuments.java
@@ -28,30 +28,30 @@
         this.exchange = exchange;
     }
 
-    List<Effect> take(NodeName from, ConfigurationDocument document) {
-        exchange.received(from, document.service(), document.version());
+    List<Effect> handle(NodeName from, ConfigurationDocument document) {
+        exchange.recordReceived(from, document.service(), document.version());
         return check(document.service(), document.version(), document.text());
     }
 
-    List<Effect> take(long now, NodeName from, ConfigurationChange change) {
+    List<Effect> handle(long now, NodeName from, ConfigurationChange change) {
         ServiceName service = change.service();
-        exchange.received(from, service, change.version());
-        if (!adoption.isNews(service, change.version())) {
+        exchange.recordReceived(from, service, change.version());
+        if (!adoption.isNewVersion(service, change.version())) {
             return List.of();
         }
         FollowedDocument document = documents.of(service);
         if (change.baseVersion() != document.version()) {
-            return List.of(exchange.ask(now, from, service, document.version()));
+            return List.of(exchange.request(now, from, service, document.version()));
         }
         Optional<String> text = document.history().apply(change);
         if (text.isEmpty()) {
-            return List.of(new Effect.Count(ConfigurationCount.BAD_CHANGE), exchange.ask(now, from, service, 0));
+            return List.of(new Effect.Count(ConfigurationCount.BAD_CHANGE), exchange.request(now, from, service, 0));
         }
         return check(service, change.version(), text.get());
     }
 
     private List<Effect> check(ServiceName service, long version, String text) {
-        List<Effect> effects = new ArrayList<>(adoption.check(service, version, text));
+        List<Effect> effects = new ArrayList<>(adoption.checkAndStore(service, version, text));
         effects.addAll(exchange.push(service));
         return effects;
     }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PeerExchange.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PeerExchange.java
@@ -26,21 +26,22 @@
      * Larger changes are not pushed, since a node may receive the same one from several nodes; it requests the change
      * from one of them instead.
      */
-    private static final int LARGEST_PUSH_BYTES = 4_096;
+    private static final int MAX_PUSH_BYTES = 4_096;
 
-    /** Slightly more than three heartbeat intervals within a service of up to {@link #NODES_AT_INTERVAL} nodes. */
-    private static final long SILENCE_NANOS = Duration.ofMillis(3_500).toNanos();
+    /** Slightly more than three heartbeat intervals within a service of up to {@link #MAX_NODES_AT_BASE_INTERVAL} nodes. */
+    private static final long SILENCE_LIMIT_NANOS = Duration.ofMillis(3_500).toNanos();
 
     /** Slightly more than three heartbeat intervals between services. */
-    private static final long SILENCE_OF_CALLED_NANOS = Duration.ofSeconds(10).toNanos();
+    private static final long CALLED_SILENCE_LIMIT_NANOS =
+            Duration.ofSeconds(10).toNanos();
 
     /** In a service with more nodes than this, nodes send heartbeats less often. */
-    private static final int NODES_AT_INTERVAL = 32;
+    private static final int MAX_NODES_AT_BASE_INTERVAL = 32;
 
     private final DocumentSet documents;
     private final RandomGenerator random;
     private final PeerVersions peers = new PeerVersions();
-    private final Pulls pulls = new Pulls();
+    private final PendingRequests requests = new PendingRequests();
 
     PeerExchange(DocumentSet documents, RandomGenerator random) {
         this.documents = documents;
@@ -53,49 +54,50 @@
 
     void lost(NodeName peer) {
         peers.lost(peer);
-        pulls.lost(peer);
+        requests.lost(peer);
     }
 
-    void heard(long now, NodeName peer) {
-        peers.heard(now, peer);
+    void recordContact(long now, NodeName peer) {
+        peers.recordContact(now, peer);
     }
 
-    boolean answered(NodeName peer) {
-        return peers.answered(peer);
+    boolean hasReported(NodeName peer) {
+        return peers.hasReported(peer);
     }
 
     /** Returns the nodes of the own service that were heard from recently. */
-    List<NodeName> neighbours(long now) {
+    List<NodeName> nodesInContact(long now) {
         List<NodeName> nodes = documents.newestOwn().stream()
                 .flatMap(own -> own.copies().stream())
                 .map(CopyEntry::node)
                 .toList();
-        long silence = SILENCE_NANOS * Math.max(nodes.size(), NODES_AT_INTERVAL) / NODES_AT_INTERVAL;
-        return peers.heardSince(now - silence, nodes);
+        long silence =
+                SILENCE_LIMIT_NANOS * Math.max(nodes.size(), MAX_NODES_AT_BASE_INTERVAL) / MAX_NODES_AT_BASE_INTERVAL;
+        return peers.heardFromSince(now - silence, nodes);
     }
 
     /**
      * Returns whether any node of a called service was heard from recently; such a node sends the service's document.
      */
-    boolean hearsCalled(long now, ServiceName service) {
+    boolean isInContactWithCalled(long now, ServiceName service) {
         return documents.of(service).newest().stream()
                 .flatMap(configuration -> configuration.copies().stream())
-                .anyMatch(copy -> peers.heardSince(now - SILENCE_OF_CALLED_NANOS, copy.node()));
+                .anyMatch(copy -> peers.heardFromSince(now - CALLED_SILENCE_LIMIT_NANOS, copy.node()));
     }
 
     /** Returns whether a node that was heard from recently has a newer version of any followed document. */
-    boolean behind(long now) {
+    boolean isBehind(long now) {
         return documents.followed().stream()
-                .anyMatch(service ->
-                        !peers.heardSince(now - SILENCE_NANOS, ahead(service)).isEmpty());
+                .anyMatch(service -> !peers.heardFromSince(now - SILENCE_LIMIT_NANOS, nodesWithNewerVersion(service))
+                        .isEmpty());
     }
 
-    boolean pulling(long now, ServiceName service) {
-        return pulls.open(now, service);
+    boolean isRequestPending(long now, ServiceName service) {
+        return requests.pending(now, service);
     }
 
-    private List<NodeName> ahead(ServiceName service) {
-        return peers.following(service, documents.of(service)::isNews);
+    private List<NodeName> nodesWithNewerVersion(ServiceName service) {
+        return peers.following(service, documents.of(service)::isNewVersion);
     }
 
     /**
@@ -105,11 +107,11 @@
      * @param versions its versions by service
      * @return whether any of them is new to this node
      */
-    boolean told(NodeName from, Map<ServiceName, Long> versions) {
-        peers.told(from, versions);
+    boolean recordVersions(NodeName from, Map<ServiceName, Long> versions) {
+        peers.recordVersions(from, versions);
         return versions.entrySet().stream()
                 .anyMatch(entry -> documents.follows(entry.getKey())
-                        && documents.of(entry.getKey()).isNews(entry.getValue()));
+                        && documents.of(entry.getKey()).isNewVersion(entry.getValue()));
     }
 
     /**
@@ -118,13 +120,13 @@
      * @param now nanoseconds on the monotonic clock
      * @return the requests
      */
-    List<Effect> askForWhatOthersHave(long now) {
+    List<Effect> requestNewerVersions(long now) {
         List<Effect> effects = new ArrayList<>();
         for (ServiceName service : documents.followed()) {
-            List<NodeName> ahead = peers.heardSince(now - SILENCE_NANOS, ahead(service));
-            if (!ahead.isEmpty() && !pulls.open(now, service)) {
+            List<NodeName> ahead = peers.heardFromSince(now - SILENCE_LIMIT_NANOS, nodesWithNewerVersion(service));
+            if (!ahead.isEmpty() && !requests.pending(now, service)) {
                 NodeName node = ahead.get(random.nextInt(ahead.size()));
-                effects.add(ask(now, node, service, documents.of(service).version()));
+                effects.add(request(now, node, service, documents.of(service).version()));
             }
         }
         return effects;
@@ -139,8 +141,8 @@
      * @param known the version that the answer may be based on; 0 for the whole document
      * @return the request
      */
-    Effect ask(long now, NodeName node, ServiceName service, long known) {
-        pulls.opened(now, service, node);
+    Effect request(long now, NodeName node, ServiceName service, long known) {
+        requests.started(now, service, node);
         return new Effect.SendToPeer(node, new ConfigurationWanted(service, known));
     }
 
@@ -156,9 +158,9 @@
             return Optional.empty();
         }
         FollowedDocument document = documents.of(wanted.service());
-        peers.assume(from, wanted.service(), wanted.knownVersion());
+        peers.recordAssumedVersion(from, wanted.service(), wanted.knownVersion());
         return document.history().update(wanted.knownVersion()).map(update -> {
-            peers.assume(from, wanted.service(), document.version());
+            peers.recordAssumedVersion(from, wanted.service(), document.version());
             return new Effect.SendToPeer(from, update);
         });
     }
@@ -170,9 +172,9 @@
      * @param service the document's service
      * @param version the version
      */
-    void received(NodeName from, ServiceName service, long version) {
-        peers.assume(from, service, version);
-        pulls.answered(service, from);
+    void recordReceived(NodeName from, ServiceName service, long version) {
+        peers.recordAssumedVersion(from, service, version);
+        requests.answered(service, from);
     }
 
     /** Pushes a document's newest version, as a small change, to the nodes that are known to have an older one. */
@@ -181,16 +183,16 @@
         List<Effect> effects = new ArrayList<>();
         for (NodeName peer : peers.following(service, version -> version < document.version())) {
             long known = peers.version(peer, service).orElse(0L);
-            document.history().change(known).filter(PeerExchange::small).ifPresent(change -> {
-                peers.assume(peer, service, document.version());
+            document.history().change(known).filter(PeerExchange::isSmall).ifPresent(change -> {
+                peers.recordAssumedVersion(peer, service, document.version());
                 effects.add(new Effect.SendToPeer(peer, change));
             });
         }
         return effects;
     }
 
-    private static boolean small(ConfigurationChange change) {
-        return DocumentHistory.size(change) <= LARGEST_PUSH_BYTES;
+    private static boolean isSmall(ConfigurationChange change) {
+        return DocumentHistory.estimatedSize(change) <= MAX_PUSH_BYTES;
     }
 
     /**
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PeerVersions.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PeerVersions.java
@@ -20,7 +20,7 @@
 final class PeerVersions {
 
     private final Map<NodeName, Peer> peers = new TreeMap<>();
-    private final Set<NodeName> answered = new HashSet<>();
+    private final Set<NodeName> hasReported = new HashSet<>();
 
     void connected(long now, NodeName node) {
         peers.put(node, new Peer(now));
@@ -30,7 +30,7 @@
         peers.remove(node);
     }
 
-    void heard(long now, NodeName node) {
+    void recordContact(long now, NodeName node) {
         Peer peer = peers.get(node);
         if (peer != null) {
             peer.lastHeardNanos = now;
@@ -43,8 +43,8 @@
      * @param node the node
      * @param versions its versions by service, which replace assumed ones
      */
-    void told(NodeName node, Map<ServiceName, Long> versions) {
-        answered.add(node);
+    void recordVersions(NodeName node, Map<ServiceName, Long> versions) {
+        hasReported.add(node);
         Peer peer = peers.get(node);
         if (peer != null) {
             peer.versions.putAll(versions);
@@ -58,7 +58,7 @@
      * @param service the document's service
      * @param version the version
      */
-    void assume(NodeName node, ServiceName service, long version) {
+    void recordAssumedVersion(NodeName node, ServiceName service, long version) {
         Peer peer = peers.get(node);
         if (peer != null) {
             peer.versions.merge(service, version, Math::max);
@@ -72,15 +72,15 @@
     /**
      * Returns whether a node has reported its versions since this process started, even if it is no longer connected.
      */
-    boolean answered(NodeName node) {
-        return answered.contains(node);
+    boolean hasReported(NodeName node) {
+        return hasReported.contains(node);
     }
 
-    List<NodeName> heardSince(long since, Collection<NodeName> nodes) {
-        return nodes.stream().filter(node -> heardSince(since, node)).toList();
+    List<NodeName> heardFromSince(long since, Collection<NodeName> nodes) {
+        return nodes.stream().filter(node -> heardFromSince(since, node)).toList();
     }
 
-    boolean heardSince(long since, NodeName node) {
+    boolean heardFromSince(long since, NodeName node) {
         Peer peer = peers.get(node);
         return peer != null && peer.lastHeardNanos >= since;
     }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/Pulls.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PendingRequests.java
@@ -11,7 +11,7 @@
  *
  * <p>Invariant: each document is requested from one node at a time. Not thread safe: one thread owns it.
  */
-final class Pulls {
+final class PendingRequests {
 
     /**
      * After this time a document is requested from another node, since the first one may have crashed or become
@@ -19,24 +19,24 @@
      */
     private static final long TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
 
-    private final Map<ServiceName, Pull> open = new HashMap<>();
+    private final Map<ServiceName, Request> pending = new HashMap<>();
 
-    boolean open(long now, ServiceName service) {
-        Pull pull = open.get(service);
-        return pull != null && now < pull.expiresNanos;
+    boolean pending(long now, ServiceName service) {
+        Request request = pending.get(service);
+        return request != null && now < request.expiresNanos;
     }
 
-    void opened(long now, ServiceName service, NodeName node) {
-        open.put(service, new Pull(node, now + TIMEOUT_NANOS));
+    void started(long now, ServiceName service, NodeName node) {
+        pending.put(service, new Request(node, now + TIMEOUT_NANOS));
     }
 
     void answered(ServiceName service, NodeName node) {
-        open.computeIfPresent(service, (_, pull) -> pull.node.equals(node) ? null : pull);
+        pending.computeIfPresent(service, (_, request) -> request.node.equals(node) ? null : request);
     }
 
     void lost(NodeName node) {
-        open.values().removeIf(pull -> pull.node.equals(node));
+        pending.values().removeIf(request -> request.node.equals(node));
     }
 
-    private record Pull(NodeName node, long expiresNanos) {}
+    private record Request(NodeName node, long expiresNanos) {}
 }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PlatformAnswers.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PlatformAnswers.java
@@ -29,7 +29,7 @@
     /**
      * A lagging replica returns an older version than the stored one; an immediate retry would reach the same replica.
      */
-    List<Effect> take(long now, Event.ConfigurationRead read) {
+    List<Effect> handle(long now, Event.ConfigurationRead read) {
         ServiceName service = read.configuration().service();
         ReadSchedule schedule = reads.schedule(service);
         long held = documents.of(service).version();
@@ -38,31 +38,31 @@
             return List.of(new Effect.Count(ConfigurationCount.STALE_READ));
         }
         if (read.configuration().version() == held) {
-            schedule.gotNothing(now);
+            schedule.nothingNewer(now);
             return List.of();
         }
-        schedule.gotNewer(now);
-        List<Effect> effects = new ArrayList<>(adoption.hold(read.configuration(), read.text()));
+        schedule.newerReceived(now);
+        List<Effect> effects = new ArrayList<>(adoption.store(read.configuration(), read.text()));
         effects.addAll(exchange.push(service));
         return effects;
     }
 
-    List<Effect> take(long now, Event.ConfigurationRefused refusal) {
+    List<Effect> handle(long now, Event.ConfigurationRefused refusal) {
         ServiceName service = refusal.service();
-        if (refusal.version() > documents.of(service).settledVersion()) {
-            reads.schedule(service).gotNewer(now);
+        if (refusal.version() > documents.of(service).highestCheckedVersion()) {
+            reads.schedule(service).newerReceived(now);
         } else {
             reads.schedule(service).failed(now);
         }
         return adoption.refuse(service, new RefusedDocument(refusal.version(), refusal.message()));
     }
 
-    List<Effect> take(long now, Event.ConfigurationUnchanged unchanged) {
-        reads.schedule(unchanged.service()).gotNothing(now);
+    List<Effect> handle(long now, Event.ConfigurationUnchanged unchanged) {
+        reads.schedule(unchanged.service()).nothingNewer(now);
         return List.of();
     }
 
-    List<Effect> take(long now, Event.ConfigurationReadFailed failed) {
+    List<Effect> handle(long now, Event.ConfigurationReadFailed failed) {
         reads.schedule(failed.service()).failed(now);
         return List.of(new Effect.Count(ConfigurationCount.READ_FAILED));
     }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PlatformReads.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PlatformReads.java
@@ -23,22 +23,22 @@
 final class PlatformReads {
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final long SHORTEST_PACE_NANOS = Duration.ofMillis(250).toNanos();
+    private static final long MIN_READ_INTERVAL_NANOS = Duration.ofMillis(250).toNanos();
 
     /** How long a starting node waits for the list of VMs, which shows the size of the fleet. */
-    private static final long FLEET_WAIT_NANOS = NANOS_PER_SECOND;
+    private static final long VM_LIST_WAIT_NANOS = NANOS_PER_SECOND;
 
     /** The assumed size of the fleet until the list of VMs is known. */
-    private static final int ASSUMED_FLEET = 3_500;
+    private static final int ASSUMED_FLEET_SIZE = 3_500;
 
     private final DistributionSettings settings;
     private final RandomGenerator random;
     private final Map<ServiceName, ReadSchedule> schedules = new TreeMap<>();
-    private int fleet = ASSUMED_FLEET;
+    private int fleetSize = ASSUMED_FLEET_SIZE;
     private boolean fleetKnown;
-    private int neighbours = 1;
+    private int nodesInContact = 1;
     private long lastReadNanos;
-    private boolean anyRead;
+    private boolean hasRead;
     private long nextAuditNanos = Long.MAX_VALUE;
 
     PlatformReads(DistributionSettings settings, RandomGenerator random) {
@@ -53,8 +53,8 @@
      * @param now nanoseconds on the monotonic clock
      * @param own the node's service
      */
-    void start(long now, ServiceName own) {
-        schedule(own).readerFrom(now + FLEET_WAIT_NANOS + random.nextLong(spreadOfAllNanos() + 1));
+    void scheduleFirstRead(long now, ServiceName own) {
+        schedule(own).startReadingAt(now + VM_LIST_WAIT_NANOS + random.nextLong(fleetSpreadNanos() + 1));
     }
 
     /**
@@ -63,10 +63,12 @@
      * @param now nanoseconds on the monotonic clock
      * @param size the number of listed VMs
      */
-    void fleet(long now, int size) {
-        fleet = Math.max(1, size);
-        if (!fleetKnown && !anyRead) {
-            schedules.values().forEach(schedule -> schedule.readerFrom(now + random.nextLong(spreadOfAllNanos() + 1)));
+    void fleetSize(long now, int size) {
+        fleetSize = Math.max(1, size);
+        if (!fleetKnown && !hasRead) {
+            schedules
+                    .values()
+                    .forEach(schedule -> schedule.startReadingAt(now + random.nextLong(fleetSpreadNanos() + 1)));
         }
         fleetKnown = true;
     }
@@ -77,38 +79,39 @@
      * @param now nanoseconds on the monotonic clock
      * @param count the number, at least 1
      */
-    void neighbours(long now, int count) {
-        neighbours = count;
+    void nodesInContact(long now, int count) {
+        nodesInContact = count;
         if (nextAuditNanos == Long.MAX_VALUE) {
-            planAudit(now);
+            scheduleAudit(now);
         }
     }
 
-    private void planAudit(long now) {
-        double mean = (double) settings.auditInterval().toNanos() * neighbours;
+    private void scheduleAudit(long now) {
+        double mean = (double) settings.auditInterval().toNanos() * nodesInContact;
         nextAuditNanos = now + (long) (mean * 2 * random.nextDouble());
     }
 
     /** Returns the time over which one read by every node is spread. */
-    private long spreadOfAllNanos() {
-        return fleet * NANOS_PER_SECOND / settings.fleetReadsPerSecond();
+    private long fleetSpreadNanos() {
+        return fleetSize * NANOS_PER_SECOND / settings.fleetReadsPerSecond();
     }
 
     /**
-     * Returns the minimum time between two reads of this node: {@link #spreadOfAllNanos()}, or less if only some of the
+     * Returns the minimum time between two reads of this node: {@link #fleetSpreadNanos()}, or less if only some of the
      * nodes that are in contact with each other read.
      */
-    private long paceNanos() {
-        long spread = spreadOfAllNanos();
-        return Math.max(SHORTEST_PACE_NANOS, Math.min(spread, spread * settings.readersPerService() / neighbours));
+    private long minIntervalNanos() {
+        long spread = fleetSpreadNanos();
+        return Math.max(
+                MIN_READ_INTERVAL_NANOS, Math.min(spread, spread * settings.readersPerService() / nodesInContact));
     }
 
     ReadSchedule schedule(ServiceName service) {
         return schedules.computeIfAbsent(service, _ -> new ReadSchedule(random));
     }
 
-    void role(long now, ServiceName service, boolean reader) {
-        schedule(service).role(now, reader, paceNanos());
+    void setReader(long now, ServiceName service, boolean reader) {
+        schedule(service).setReader(now, reader, minIntervalNanos());
     }
 
     void follow(Set<ServiceName> services) {
@@ -124,7 +127,7 @@
      * @param known the version above which a document is new
      * @return the reads
      */
-    List<Effect> start(long now, ServiceName own, Predicate<ServiceName> wanted, ToLongFunction<ServiceName> known) {
+    List<Effect> startDue(long now, ServiceName own, Predicate<ServiceName> wanted, ToLongFunction<ServiceName> known) {
         List<Effect> effects = new ArrayList<>();
         schedules.forEach((service, schedule) -> {
             schedule.expireLost(now);
@@ -134,11 +137,11 @@
             if (wanted.test(service)) {
                 effects.addAll(read(now, service, known.applyAsLong(service), settings.patience()));
             } else {
-                schedule.postpone(now + SHORTEST_PACE_NANOS);
+                schedule.postpone(now + MIN_READ_INTERVAL_NANOS);
             }
         });
         if (now >= nextAuditNanos) {
-            planAudit(now);
+            scheduleAudit(now);
             if (!schedule(own).reader() && !schedule(own).open() && mayRead(now)) {
                 effects.addAll(read(now, own, known.applyAsLong(own), Duration.ZERO));
             }
@@ -147,12 +150,12 @@
     }
 
     private boolean mayRead(long now) {
-        return !anyRead || now - lastReadNanos >= paceNanos();
+        return !hasRead || now - lastReadNanos >= minIntervalNanos();
     }
 
     private List<Effect> read(long now, ServiceName service, long known, Duration patience) {
         lastReadNanos = now;
-        anyRead = true;
+        hasRead = true;
         schedule(service).opened(now, patience);
         return List.of(
                 new Effect.Count(ConfigurationCount.READ), new Effect.ReadConfiguration(service, known, patience));
@@ -163,7 +166,7 @@
                 .mapToLong(ReadSchedule::nextWakeNanos)
                 .min()
                 .orElse(Long.MAX_VALUE);
-        long allowed = anyRead ? lastReadNanos + paceNanos() : Long.MIN_VALUE;
+        long allowed = hasRead ? lastReadNanos + minIntervalNanos() : Long.MIN_VALUE;
         return Math.max(allowed, Math.min(due, nextAuditNanos));
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/ReadSchedule.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/ReadSchedule.java
@@ -10,10 +10,10 @@
  */
 final class ReadSchedule {
 
-    private static final long FIRST_BACKOFF_NANOS = Duration.ofMillis(250).toNanos();
+    private static final long INITIAL_BACKOFF_NANOS = Duration.ofMillis(250).toNanos();
 
     /** A recovered platform is noticed within this time, and 3,500 nodes that retry stay below its rate limit. */
-    private static final long LONGEST_BACKOFF_NANOS = Duration.ofSeconds(4).toNanos();
+    private static final long MAX_BACKOFF_NANOS = Duration.ofSeconds(4).toNanos();
 
     /**
      * A read whose outcome never arrives, as when the adapter's connection was replaced meanwhile, would permanently
@@ -48,7 +48,7 @@
      * @param nowReader whether it is a reader from now on
      * @param spreadNanos the time over which the first reads of all new readers are spread
      */
-    void role(long now, boolean nowReader, long spreadNanos) {
+    void setReader(long now, boolean nowReader, long spreadNanos) {
         if (nowReader && !reader) {
             dueNanos = Math.min(dueNanos, now + random.nextLong(spreadNanos + 1));
         } else if (!nowReader && reader) {
@@ -62,7 +62,7 @@
      *
      * @param atNanos nanoseconds on the monotonic clock
      */
-    void readerFrom(long atNanos) {
+    void startReadingAt(long atNanos) {
         reader = true;
         dueNanos = atNanos;
     }
@@ -72,7 +72,7 @@
      *
      * @param atNanos nanoseconds on the monotonic clock
      */
-    void dueBy(long atNanos) {
+    void scheduleBy(long atNanos) {
         dueNanos = Math.min(dueNanos, atNanos);
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** Handles a newer document, valid or not: the next watch starts at once. */
-    void gotNewer(long now) {
+    void newerReceived(long now) {
         failures = 0;
         close(now);
     }
@@ -109,24 +109,24 @@
      *
      * @param now nanoseconds on the monotonic clock
      */
-    void gotNothing(long now) {
+    void nothingNewer(long now) {
         if (open && now - openedNanos < patienceNanos / 2) {
             failed(now);
             return;
         }
-        gotNewer(now);
+        newerReceived(now);
     }
 
     void failed(long now) {
         failures++;
-        long backoff = Math.min(LONGEST_BACKOFF_NANOS, FIRST_BACKOFF_NANOS << Math.min(failures - 1, 8));
+        long backoff = Math.min(MAX_BACKOFF_NANOS, INITIAL_BACKOFF_NANOS << Math.min(failures - 1, 8));
         close(now + backoff / 2 + random.nextLong(backoff / 2 + 1));
     }
 
     private void close(long nextNanos) {
         open = false;
         if (reader) {
-            dueBy(nextNanos);
+            scheduleBy(nextNanos);
         }
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/distribution/StartingGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/StartingGate.java
@@ -22,14 +22,14 @@
 final class StartingGate {
 
     private final NodeName self;
-    private final long boundNanos;
+    private final long timeoutNanos;
     private long documentSinceNanos = Long.MAX_VALUE;
     private Optional<VmList> vmList = Optional.empty();
     private boolean open;
 
-    StartingGate(NodeName self, Duration bound) {
+    StartingGate(NodeName self, Duration timeout) {
         this.self = self;
-        this.boundNanos = bound.toNanos();
+        this.timeoutNanos = timeout.toNanos();
     }
 
     boolean isOpen() {
@@ -66,22 +66,22 @@
         if (others.stream().allMatch(answered)) {
             return true;
         }
-        if (now < documentSinceNanos + boundNanos) {
+        if (now < documentSinceNanos + timeoutNanos) {
             return false;
         }
         List<NodeName> expected = others.stream()
-                .filter(node -> answered.test(node) || mayLive(node))
+                .filter(node -> answered.test(node) || mayAnswer(node))
                 .toList();
         return expected.stream().filter(answered).count() * 2 > expected.size() || expected.isEmpty();
     }
 
     /** Returns whether a node may still answer: its VM is in the list, or the list is not known yet. */
-    private boolean mayLive(NodeName node) {
+    private boolean mayAnswer(NodeName node) {
         return vmList.map(list -> list.state(node).isPresent()).orElse(true);
     }
 
     long nextWakeNanos(long now) {
-        boolean waiting = !open && documentSinceNanos != Long.MAX_VALUE && now < documentSinceNanos + boundNanos;
-        return waiting ? documentSinceNanos + boundNanos : Long.MAX_VALUE;
+        boolean waiting = !open && documentSinceNanos != Long.MAX_VALUE && now < documentSinceNanos + timeoutNanos;
+        return waiting ? documentSinceNanos + timeoutNanos : Long.MAX_VALUE;
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/distribution/ConfigurationDistributionTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/ConfigurationDistributionTest.java
@@ -47,7 +47,7 @@
         return distribution.handle(now, event);
     }
 
-    private List<Effect> pass(Duration duration) {
+    private List<Effect> advance(Duration duration) {
         List<Effect> effects = new ArrayList<>();
         long end = now.nanos() + duration.toNanos();
         while (distribution.nextWakeNanos() <= end) {
@@ -93,7 +93,7 @@
                 .toList();
     }
 
-    private static Optional<ConfigurationWanted> question(List<Effect> effects) {
+    private static Optional<ConfigurationWanted> requestedDocument(List<Effect> effects) {
         return effects.stream()
                 .filter(Effect.SendToPeer.class::isInstance)
                 .map(effect -> ((Effect.SendToPeer) effect).message())
@@ -107,7 +107,7 @@
     }
 
     @Nested
-    class AStart {
+    class AStartingNode {
 
         // Guards against a fall of the version in force: a node is replaced while one replica of the platform lags by
         // an hour. It reads an old version there and would serve under it, although it served under the newest before
@@ -117,7 +117,7 @@
             read(3, TEXT);
             connect(SECOND, 9);
 
-            pass(Duration.ofSeconds(1));
+            advance(Duration.ofSeconds(1));
             assertFalse(distribution.readyToServe());
             assertEquals(Optional.empty(), distribution.inForce(SERVICE));
 
@@ -132,7 +132,7 @@
         void waitsWhileNobodyAnswers() {
             read(3, TEXT);
 
-            pass(Duration.ofMinutes(10));
+            advance(Duration.ofMinutes(10));
             assertFalse(distribution.readyToServe());
 
             connect(SECOND, 0);
@@ -141,10 +141,10 @@
         }
 
         @Test
-        void takesAMajorityAfterAWhile() {
+        void acceptsAMajorityAfterTheTimeout() {
             read(3, TEXT);
             connect(SECOND, 3);
-            pass(Duration.ofMinutes(1));
+            advance(Duration.ofMinutes(1));
             assertFalse(distribution.readyToServe(), "one of two others is not a majority");
 
             handle(new Event.VmListRead(new VmList(Map.of(SELF, VmState.LIVE, SECOND, VmState.LIVE))));
@@ -152,19 +152,19 @@
         }
 
         @Test
-        void goesOnAloneOnlyWhenTheListShowsNoOther() {
+        void servesAloneOnlyIfTheListShowsNoOtherNode() {
             read(3, TEXT);
             handle(new Event.VmListRead(new VmList(Map.of(SELF, VmState.LIVE))));
             assertFalse(distribution.readyToServe());
 
-            pass(Duration.ofSeconds(4));
+            advance(Duration.ofSeconds(4));
             assertTrue(distribution.readyToServe());
         }
 
         @Test
         void needsNoPlatformWhereAPeerHasTheDocument() {
             handle(new Event.PeerConnected(SECOND, 1));
-            Optional<ConfigurationWanted> question = question(heartbeat(SECOND, 7));
+            Optional<ConfigurationWanted> question = requestedDocument(heartbeat(SECOND, 7));
 
             assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 0)), question);
             receive(SECOND, new ConfigurationDocument(SERVICE, 7, TEXT));
@@ -178,12 +178,12 @@
         // Guards against a busy loop of reads: an operator publishes an invalid document. A watch that starts from the
         // version in force returns it at once, so each reader would read it many times a second until it is corrected.
         @Test
-        void isRefusedOnceShownAndWatchedPast() {
+        void isRefusedOnceReportedAndSkippedByWatches() {
             becomeReadyWith(3);
-            pass(Duration.ofSeconds(5));
+            advance(Duration.ofSeconds(5));
 
             List<Effect> effects = new ArrayList<>(read(4, "nonsense"));
-            effects.addAll(pass(Duration.ofSeconds(1)));
+            effects.addAll(advance(Duration.ofSeconds(1)));
 
             assertEquals(1, counted(effects, ConfigurationCount.REFUSED));
             assertEquals(Map.of(SERVICE, 3L), distribution.versions());
@@ -234,7 +234,7 @@
         // of the platform. A change computed from one text and applied to the other would yield a document that was
         // never published.
         @Test
-        void withAWrongChecksumIsDroppedAndTheWholeDocumentAskedFor() {
+        void withAWrongChecksumIsDroppedAndTheWholeDocumentRequested() {
             becomeReadyWith(3);
 
             List<Effect> effects = receive(
@@ -242,17 +242,17 @@
                     new ConfigurationChange(SERVICE, 3, 4, List.of(new LineEdit(0, 0, List.of("note"))), 12345));
 
             assertEquals(1, counted(effects, ConfigurationCount.BAD_CHANGE));
-            assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 0)), question(effects));
+            assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 0)), requestedDocument(effects));
             assertEquals(Map.of(SERVICE, 3L), distribution.versions());
         }
 
         @Test
-        void fromAnUnknownBaseLeadsToAQuestion() {
+        void fromAnUnknownBaseLeadsToARequest() {
             becomeReadyWith(3);
 
             List<Effect> effects = receive(SECOND, new ConfigurationChange(SERVICE, 5, 6, List.of(), 0));
 
-            assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 3)), question(effects));
+            assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 3)), requestedDocument(effects));
         }
     }
 
@@ -266,7 +266,7 @@
             handle(new Event.WakeUp());
             int reads = 0;
             for (int i = 0; i < 60; i++) {
-                List<Effect.ReadConfiguration> started = reads(pass(Duration.ofSeconds(1)));
+                List<Effect.ReadConfiguration> started = reads(advance(Duration.ofSeconds(1)));
                 reads += started.size();
                 started.forEach(read -> handle(new Event.ConfigurationUnchanged(read.service())));
             }
@@ -277,11 +277,11 @@
         @Test
         void thatFailsIsReadAgainWithinSeconds() {
             handle(new Event.WakeUp());
-            pass(Duration.ofSeconds(10));
+            advance(Duration.ofSeconds(10));
             for (int i = 0; i < 10; i++) {
                 handle(new Event.ConfigurationReadFailed(SERVICE, Step.CONFIGURATION, "down"));
 
-                assertEquals(1, reads(pass(Duration.ofSeconds(5))).size());
+                assertEquals(1, reads(advance(Duration.ofSeconds(5))).size());
             }
         }
 
@@ -300,8 +300,8 @@
         void whoseAnswerIsLostIsReadAgain() {
             handle(new Event.WakeUp());
 
-            assertEquals(1, reads(pass(Duration.ofSeconds(30))).size());
-            assertEquals(1, reads(pass(Duration.ofSeconds(30))).size());
+            assertEquals(1, reads(advance(Duration.ofSeconds(30))).size());
+            assertEquals(1, reads(advance(Duration.ofSeconds(30))).size());
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/distribution/DistributionPropertyTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/DistributionPropertyTest.java
@@ -68,7 +68,7 @@
         VirtualFleet fleet = new VirtualFleet(seed);
         fleet.add(DEEP, List.of(), 3);
         fleet.add(ENTRY, List.of(DEEP.value()), 4);
-        fleet.slowestMessage(30);
+        fleet.maxMessageDelay(30);
         fleet.checkAfterEachEvent(new VersionsNeverFall(fleet)::check);
         fleet.startAll();
 
@@ -76,11 +76,11 @@
             perform(fleet, action);
             fleet.runFor(Duration.ofMillis(action.waitMillis));
         }
-        fleet.cut(Set.of());
+        fleet.setPartition(Set.of());
         fleet.platform.mode(VirtualPlatform.Mode.UP);
         fleet.names().forEach(name -> fleet.pause(name, Duration.ZERO));
         fleet.startAll();
-        List.of(DEEP, ENTRY).forEach(service -> correctWhatNobodyHolds(fleet, service));
+        List.of(DEEP, ENTRY).forEach(service -> publishIfLost(fleet, service));
         fleet.runFor(LIMIT);
 
         fleet.running.values().forEach(node -> assertNewestInForce(fleet, node));
@@ -108,8 +108,8 @@
                     fleet.after(Duration.ofMillis(action.waitMillis), () -> fleet.start(name));
                 };
             case PAUSE -> () -> fleet.pause(name, Duration.ofMillis(2L * action.waitMillis));
-            case CUT -> () -> fleet.cut(new HashSet<>(fleet.names().subList(0, action.node)));
-            case JOIN -> () -> fleet.cut(Set.of());
+            case CUT -> () -> fleet.setPartition(new HashSet<>(fleet.names().subList(0, action.node)));
+            case JOIN -> () -> fleet.setPartition(Set.of());
             case BREAK_CONNECTIONS -> () -> fleet.breakLinks(name);
         };
         step.run();
@@ -119,16 +119,16 @@
      * The platform returns only the newest value. While that is invalid, the last valid one is lost to a service of
      * which no node has it, until operators publish again.
      */
-    private static void correctWhatNobodyHolds(VirtualFleet fleet, ServiceName document) {
+    private static void publishIfLost(VirtualFleet fleet, ServiceName document) {
         boolean lost = Stream.of(DEEP, ENTRY)
                 .filter(service -> service.equals(document) || service.equals(ENTRY))
-                .anyMatch(service -> nobodyHolds(fleet, service, document));
+                .anyMatch(service -> noNodeHas(fleet, service, document));
         if (lost && !fleet.platform.newestIsValid(document)) {
             publish(fleet, document, "note corrected", 1);
         }
     }
 
-    private static boolean nobodyHolds(VirtualFleet fleet, ServiceName service, ServiceName document) {
+    private static boolean noNodeHas(VirtualFleet fleet, ServiceName service, ServiceName document) {
         return fleet.running.values().stream()
                 .filter(node -> node.service.equals(service))
                 .flatMap(node -> node.distribution.newest(document).stream())
@@ -162,7 +162,7 @@
             boolean sameProcess = incarnations.getOrDefault(node.name, -1L) == node.incarnation;
             present.forEach((service, version) -> {
                 long floor = before.getOrDefault(service, 0L);
-                if (sameProcess || someConnectedPeerHolds(node, service, floor)) {
+                if (sameProcess || connectedPeerHas(node, service, floor)) {
                     assertTrue(
                             version >= floor,
                             () -> node.name + " fell from " + floor + " to " + version + " of " + service);
@@ -174,7 +174,7 @@
             }
         }
 
-        private boolean someConnectedPeerHolds(VirtualNode node, ServiceName service, long version) {
+        private boolean connectedPeerHas(VirtualNode node, ServiceName service, long version) {
             return fleet.running.values().stream()
                     .filter(peer -> peer.service.equals(node.service) && !fleet.isPaused(peer.name))
                     .filter(peer -> peer.distribution
@@ -183,7 +183,7 @@
                             .isPresent())
                     .anyMatch(peer -> fleet.linkedForNanos(node.name, peer.name) > SETTLED_LINK_NANOS
                             || fleet.linkedForNanos(node.name, peer.name) >= 0
-                                    && node.wasTold(peer.name, service, version));
+                                    && node.hasReported(peer.name, service, version));
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/distribution/DistributionReadsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/DistributionReadsTest.java
@@ -41,7 +41,7 @@
     }
 
     @Nested
-    class WhenEveryNodeBelievesItselfAlone {
+    class WhenEveryNodeIsIsolated {
 
         // Guards against overload of the platform: after a network failure at the start, 3,500 nodes have no peer and
         // read their documents at the platform. If all did so at once, the platform would refuse reads and no node
@@ -49,7 +49,7 @@
         @Test
         void allTogetherStayFarBelowThePlatformsRate() {
             VirtualFleet fleet = fleet(150, 23);
-            fleet.cutAll();
+            fleet.disconnectAll();
 
             fleet.startAll();
             fleet.runFor(Duration.ofSeconds(40));
@@ -63,7 +63,7 @@
         @Test
         void alsoWhileThePlatformIsDown() {
             VirtualFleet fleet = fleet(150, 23);
-            fleet.cutAll();
+            fleet.disconnectAll();
             fleet.platform.mode(VirtualPlatform.Mode.DOWN);
 
             fleet.startAll();
--- a/policy/src/test/java/org/carawaysill/policy/distribution/LineDifferenceTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/LineDifferenceTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aTextThatIsWhollyOtherIsReplacedByOneEdit() {
+    void aCompletelyDifferentTextIsReplacedByOneEdit() {
         List<String> from = IntStream.range(0, 30_000).mapToObj(i -> "a" + i).toList();
         List<String> to = IntStream.range(0, 30_000).mapToObj(i -> "b" + i).toList();
 
@@ -37,14 +37,14 @@
     }
 
     @Test
-    void editsThatDoNotFitAreRefused() {
+    void editsThatDoNotApplyAreRefused() {
         assertEquals(Optional.empty(), LineDifference.apply(List.of("a"), List.of(new LineEdit(1, 1, List.of()))));
         assertEquals(Optional.empty(), LineDifference.apply(List.of("a"), List.of(new LineEdit(-1, 0, List.of()))));
         assertEquals(Optional.empty(), LineDifference.apply(List.of("a"), List.of(new LineEdit(9, 0, List.of()))));
     }
 
     @Test
-    void twoChangedLinesOfALargeDocumentTravelAsAFewBytes() {
+    void twoChangedLinesOfALargeDocumentAreEncodedInAFewBytes() {
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < 3_000; i++) {
             lines.add("name = \"some operation number " + i + "\"");
@@ -59,7 +59,7 @@
         ConfigurationChange change = history.change(7).orElseThrow();
 
         assertTrue(before.length() > 100_000);
-        assertEquals(50, DocumentHistory.size(change));
+        assertEquals(50, DocumentHistory.estimatedSize(change));
         assertEquals(2, change.edits().size());
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/distribution/PropagationTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/PropagationTest.java
@@ -64,7 +64,7 @@
             fleet.runFor(Duration.ofMillis(1));
             millis++;
         }
-        fleet.cut(Set.of());
+        fleet.setPartition(Set.of());
         fleet.names().forEach(name -> fleet.pause(name, Duration.ZERO));
         fleet.runFor(RECOVERY);
         return millis;
@@ -100,7 +100,7 @@
         for (int i = 0; i < fleet.names().size(); i += 2) {
             half.add(fleet.names().get(i));
         }
-        fleet.cut(half);
+        fleet.setPartition(half);
         publish();
     }
 
--- a/policy/src/test/java/org/carawaysill/policy/distribution/VirtualFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/VirtualFleet.java
@@ -29,7 +29,7 @@
 
     static final long SECOND = 1_000_000_000L;
     static final long MILLISECOND = 1_000_000L;
-    private static final long REDIAL = 500 * MILLISECOND;
+    private static final long RECONNECT_DELAY = 500 * MILLISECOND;
 
     private record Timed(long at, long order, Runnable action) {}
 
@@ -45,12 +45,12 @@
     private final PriorityQueue<Timed> queue =
             new PriorityQueue<>(Comparator.comparingLong(Timed::at).thenComparingLong(Timed::order));
     private final SplittableRandom random;
-    private Set<NodeName> island = Set.of();
+    private Set<NodeName> partition = Set.of();
     private Consumer<VirtualNode> check = _ -> {};
-    private boolean cutAll;
+    private boolean disconnectAll;
     private long now;
     private long order;
-    private int slowestMillis = 2;
+    private int maxDelayMillis = 2;
     private long messages;
 
     VirtualFleet(long seed) {
@@ -61,8 +61,8 @@
         check = invariant;
     }
 
-    void slowestMessage(int millis) {
-        slowestMillis = millis;
+    void maxMessageDelay(int millis) {
+        maxDelayMillis = millis;
     }
 
     void add(ServiceName service, List<String> calls, int copies) {
@@ -106,12 +106,12 @@
         return pausedUntil.getOrDefault(name, 0L) > now;
     }
 
-    void cut(Set<NodeName> separated) {
-        island = separated;
+    void setPartition(Set<NodeName> separated) {
+        partition = separated;
     }
 
-    void cutAll() {
-        cutAll = true;
+    void disconnectAll() {
+        disconnectAll = true;
     }
 
     void breakLinks(NodeName name) {
@@ -143,14 +143,14 @@
         now = end;
     }
 
-    boolean reach(NodeName one, NodeName other) {
-        return !cutAll && island.contains(one) == island.contains(other) && running.containsKey(other);
+    boolean canReach(NodeName one, NodeName other) {
+        return !disconnectAll && partition.contains(one) == partition.contains(other) && running.containsKey(other);
     }
 
     /** Returns how long two nodes have been connected, or -1 if they are not. */
     long linkedForNanos(NodeName one, NodeName other) {
         Long since = linkedSince.get(link(one, other));
-        return since == null || !reach(one, other) ? -1 : now - since;
+        return since == null || !canReach(one, other) ? -1 : now - since;
     }
 
     private void at(long time, Runnable action) {
@@ -183,7 +183,7 @@
             send(node, send.peer(), send.message());
         } else if (effect instanceof Effect.ConnectPeer connect) {
             wanted.add(new Link(node.name, connect.peer()));
-            dial(node, connect.peer());
+            connect(node, connect.peer());
         } else if (effect instanceof Effect.DisconnectPeer disconnect) {
             wanted.remove(new Link(node.name, disconnect.peer()));
         } else if (effect instanceof Effect.ReadConfiguration read) {
@@ -202,22 +202,22 @@
 
     private void send(VirtualNode from, NodeName to, PeerMessage message) {
         messages++;
-        long delay = MILLISECOND / 2 + random.nextLong(slowestMillis * MILLISECOND);
+        long delay = MILLISECOND / 2 + random.nextLong(maxDelayMillis * MILLISECOND);
         long since = linkedSince.getOrDefault(link(from.name, to), -1L);
         at(now + delay, () -> {
-            if (since >= 0 && reach(from.name, to) && linkedSince.getOrDefault(link(from.name, to), -1L) == since) {
+            if (since >= 0 && canReach(from.name, to) && linkedSince.getOrDefault(link(from.name, to), -1L) == since) {
                 deliver(running.get(to), new Event.PeerReceived(from.name, message));
             }
         });
     }
 
-    private void dial(VirtualNode node, NodeName peer) {
+    private void connect(VirtualNode node, NodeName peer) {
         boolean givenUp = running.get(node.name) != node || !wanted.contains(new Link(node.name, peer));
-        if (givenUp || cutAll || linkedSince.containsKey(link(node.name, peer))) {
+        if (givenUp || disconnectAll || linkedSince.containsKey(link(node.name, peer))) {
             return;
         }
-        if (!reach(node.name, peer) || isPaused(peer)) {
-            at(now + REDIAL, () -> dial(node, peer));
+        if (!canReach(node.name, peer) || isPaused(peer)) {
+            at(now + RECONNECT_DELAY, () -> connect(node, peer));
             return;
         }
         linkedSince.put(link(node.name, peer), now);
@@ -233,7 +233,7 @@
             if (node != null) {
                 NodeName peer = end.equals(link.one) ? link.other : link.one;
                 at(now + MILLISECOND, () -> deliver(node, new Event.PeerLost(peer)));
-                at(now + REDIAL, () -> dial(node, peer));
+                at(now + RECONNECT_DELAY, () -> connect(node, peer));
             }
         }
     }
--- a/policy/src/test/java/org/carawaysill/policy/distribution/VirtualNode.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/VirtualNode.java
@@ -31,7 +31,7 @@
     final ConfigurationDistribution distribution;
     final Membership membership;
     private final CopySelector selector;
-    private final Map<NodeName, Map<ServiceName, Long>> told = new HashMap<>();
+    private final Map<NodeName, Map<ServiceName, Long>> reportedVersions = new HashMap<>();
     private long revision;
 
     VirtualNode(NodeName name, ServiceName service, long incarnation, SplittableRandom random) {
@@ -47,7 +47,7 @@
     List<Effect> handle(Moment now, Event event) {
         if (event instanceof Event.PeerReceived received
                 && received.message() instanceof PeerMessage.Heartbeat heartbeat) {
-            told.put(received.from(), heartbeat.versions());
+            reportedVersions.put(received.from(), heartbeat.versions());
         }
         List<Effect> effects = new ArrayList<>(membership.handle(now, event, this));
         effects.addAll(distribution.handle(now, event));
@@ -70,8 +70,8 @@
     }
 
     /** Returns whether a node reported this version or a higher one to this process in its last heartbeat. */
-    boolean wasTold(NodeName peer, ServiceName document, long version) {
-        return told.getOrDefault(peer, Map.of()).getOrDefault(document, 0L) >= version;
+    boolean hasReported(NodeName peer, ServiceName document, long version) {
+        return reportedVersions.getOrDefault(peer, Map.of()).getOrDefault(document, 0L) >= version;
     }
 
     long nextWakeNanos() {
