--- a/policy/src/main/java/org/carawaysill/policy/distribution/Adoption.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/Adoption.java
@@ -11,10 +11,10 @@
 import org.carawaysill.policy.effect.Effect;
 
 /**
- * Checks documents, holds those that pass, and puts them in force once the starting gate is open.
+ * Checks documents, stores those that pass, and puts them in force once the starting gate is open.
  *
- * <p>Invariant: the version in force of a service never falls; it is checked again at the moment of the change. Not thread
- * safe: one thread owns it.
+ * <p>Invariant: the version in force of a service never falls; this is checked again when a version is put in force.
+ * Not thread safe: one thread owns it.
  */
 final class Adoption {
 
@@ -32,22 +32,22 @@
     }
 
     /**
-     * Takes in a text that another node sent; it passes the same checks as one from the platform.
+     * Checks a text that another node sent, in the same way as one from the platform, and stores or refuses it.
      *
      * @param service the document's service
      * @param version the platform's version number
      * @param text the text
-     * @return what to count and to log
+     * @return the counts and log lines
      */
-    List<Effect> check(ServiceName service, long version, String text) {
-        if (!isNews(service, version)) {
+    List<Effect> checkAndStore(ServiceName service, long version, String text) {
+        if (!isNewVersion(service, version)) {
             return List.of();
         }
         return switch (parser.parse(text, version)) {
             case DocumentParser.Verdict.Valid valid
             when !valid.configuration().service().equals(service) ->
                 refuse(service, new RefusedDocument(version, "it names another service"));
-            case DocumentParser.Verdict.Valid valid -> hold(valid.configuration(), text);
+            case DocumentParser.Verdict.Valid valid -> store(valid.configuration(), text);
             case DocumentParser.Verdict.Invalid invalid ->
                 refuse(service, new RefusedDocument(version, invalid.message()));
         };
@@ -57,35 +57,35 @@
         return revision;
     }
 
-    boolean isNews(ServiceName service, long version) {
-        return documents.follows(service) && documents.of(service).isNews(version);
+    boolean isNewVersion(ServiceName service, long version) {
+        return documents.follows(service) && documents.of(service).isNewVersion(version);
     }
 
     /**
-     * Takes in a document that passed the checks.
+     * Stores a document that passed the checks.
      *
      * @param configuration its content
      * @param text its text
-     * @return what to count and to log
+     * @return the counts and log lines
      */
-    List<Effect> hold(ServiceConfiguration configuration, String text) {
+    List<Effect> store(ServiceConfiguration configuration, String text) {
         ServiceName service = configuration.service();
-        if (!documents.follows(service) || !documents.of(service).hold(configuration, text)) {
+        if (!documents.follows(service) || !documents.of(service).store(configuration, text)) {
             return List.of();
         }
         revision++;
         if (service.equals(documents.own())) {
-            documents.followCalls();
+            documents.updateFollowed();
         }
-        return gate.isOpen() ? bringAllIntoForce() : List.of();
+        return gate.isOpen() ? putAllInForce() : List.of();
     }
 
     /**
-     * Takes in a document that failed the checks; what is in force stays.
+     * Refuses a document that failed the checks; the version in force stays.
      *
      * @param service the document's service
      * @param document its version and faults
-     * @return what to count and to log, nothing if it was known
+     * @return the counts and log lines; empty if the refusal was already known
      */
     List<Effect> refuse(ServiceName service, RefusedDocument document) {
         if (!documents.of(service).refuse(document)) {
@@ -95,23 +95,23 @@
         return List.of(new Effect.Count(ConfigurationCount.REFUSED), log(line));
     }
 
-    /** Puts in force what is held. */
-    List<Effect> bringAllIntoForce() {
+    /** Puts all stored newer versions in force. */
+    List<Effect> putAllInForce() {
         List<Effect> effects = new ArrayList<>();
         for (ServiceName service : documents.followed()) {
-            effects.addAll(bringIntoForce(documents.of(service)));
+            effects.addAll(putInForce(documents.of(service)));
         }
         return effects;
     }
 
-    private List<Effect> bringIntoForce(FollowedDocument document) {
+    private List<Effect> putInForce(FollowedDocument document) {
         if (document.newest().equals(document.inForce())) {
             return List.of();
         }
         if (document.version() <= document.inForceVersion()) {
             return List.of(new Effect.Count(Invariant.VERSION_NEVER_FALLS));
         }
-        document.bringIntoForce();
+        document.putInForce();
         revision++;
         String line = "version " + document.version() + " of " + document.service() + " is in force";
         return List.of(new Effect.Count(ConfigurationCount.ADOPTED), log(line));
--- a/policy/src/main/java/org/carawaysill/policy/distribution/ConfigurationDistribution.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/ConfigurationDistribution.java
@@ -22,11 +22,11 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Brings the documents of a node's own service and of the services that it calls into force: a few elected nodes of each
- * service watch them at the platform, the others get them from nodes.
+ * Distributes the documents of a node's own service and of the services that it calls, and puts them in force: a few
+ * elected nodes of each service watch them at the platform, the others get them from nodes.
  *
- * <p>Invariant: the version in force of a service never falls, and nothing is in force before the node knows what its peers
- * have in force. Not thread safe: one thread owns it.
+ * <p>Invariant: the version in force of a service never falls, and no version is in force before the node knows the
+ * versions in force at its peers. Not thread safe: one thread owns it.
  */
 public final class ConfigurationDistribution {
 
@@ -43,18 +43,18 @@
     private final PeerDocuments peerDocuments;
     private boolean started;
 
-    /** Whether something happened that bears on the elections, the reads, the questions to others or the gate. */
-    private boolean reconsider;
+    /** Whether an event may affect the elections, the reads, the requests to other nodes or the starting gate. */
+    private boolean reevaluate;
 
     private long nextWakeNanos = Long.MIN_VALUE;
 
     /**
-     * Creates the distribution of a node that has just started and knows nothing.
+     * Creates the distribution of a node that has just started and has no documents.
      *
      * @param self this node
      * @param own its service
      * @param parser the checks that a document must pass
-     * @param settings how to get documents
+     * @param settings the settings of the distribution
      * @param random the source of jitter
      */
     public ConfigurationDistribution(
@@ -68,54 +68,54 @@
         this.documents = new DocumentSet(own);
         this.exchange = new PeerExchange(documents, random);
         this.reads = new PlatformReads(settings, random);
-        this.gate = new StartingGate(self, settings.startingBound());
+        this.gate = new StartingGate(self, settings.startTimeout());
         this.adoption = new Adoption(self, parser, documents, gate);
         this.answers = new PlatformAnswers(documents, adoption, exchange, reads);
         this.peerDocuments = new PeerDocuments(documents, adoption, exchange);
     }
 
     /**
-     * Takes in an event; those that don't concern configuration change nothing.
+     * Handles an event; events that don't concern configuration have no effect.
      *
-     * @param now the moment
-     * @param event what happened; the first one starts the work
-     * @return what to do
+     * @param now the time of the event
+     * @param event the event; the first one starts the distribution
+     * @return the resulting effects
      */
     public List<Effect> handle(Moment now, Event event) {
         if (!started) {
             started = true;
-            reads.start(now.nanos(), documents.own());
+            reads.scheduleFirstRead(now.nanos(), documents.own());
         }
-        List<Effect> effects = new ArrayList<>(take(now.nanos(), event));
-        if (reconsider || now.nanos() >= nextWakeNanos) {
-            reconsider = false;
+        List<Effect> effects = new ArrayList<>(dispatch(now.nanos(), event));
+        if (reevaluate || now.nanos() >= nextWakeNanos) {
+            reevaluate = false;
             effects.addAll(wakeUp(now.nanos()));
         }
         return effects;
     }
 
-    private List<Effect> take(long now, Event event) {
+    private List<Effect> dispatch(long now, Event event) {
         return switch (event) {
-            case Event.ConfigurationRead read -> reconsiderAfter(answers.take(now, read));
-            case Event.ConfigurationUnchanged unchanged -> reconsiderAfter(answers.take(now, unchanged));
-            case Event.ConfigurationRefused refusal -> reconsiderAfter(answers.take(now, refusal));
-            case Event.ConfigurationReadFailed failed -> reconsiderAfter(answers.take(now, failed));
+            case Event.ConfigurationRead read -> reevaluateAfter(answers.handle(now, read));
+            case Event.ConfigurationUnchanged unchanged -> reevaluateAfter(answers.handle(now, unchanged));
+            case Event.ConfigurationRefused refusal -> reevaluateAfter(answers.handle(now, refusal));
+            case Event.ConfigurationReadFailed failed -> reevaluateAfter(answers.handle(now, failed));
             case Event.VmListRead read -> {
                 gate.vmList(read.list());
-                reads.fleet(now, read.list().states().size());
-                yield reconsiderAfter(List.of());
+                reads.fleetSize(now, read.list().states().size());
+                yield reevaluateAfter(List.of());
             }
             case Event.PeerConnected peer -> {
                 exchange.connected(now, peer.peer());
-                yield reconsiderAfter(List.of());
+                yield reevaluateAfter(List.of());
             }
             case Event.PeerLost peer -> {
                 exchange.lost(peer.peer());
-                yield reconsiderAfter(List.of());
+                yield reevaluateAfter(List.of());
             }
             case Event.PeerReceived received -> {
-                exchange.heard(now, received.from());
-                yield take(now, received.from(), received.message());
+                exchange.recordContact(now, received.from());
+                yield dispatch(now, received.from(), received.message());
             }
             case Event.CallerRequest _,
                     Event.CopyCall _,
@@ -127,17 +127,17 @@
         };
     }
 
-    private List<Effect> take(long now, NodeName from, PeerMessage message) {
+    private List<Effect> dispatch(long now, NodeName from, PeerMessage message) {
         return switch (message) {
             case Heartbeat heartbeat -> {
-                boolean news = exchange.told(from, heartbeat.versions());
-                reconsider = news || !gate.isOpen();
+                boolean hasNewVersion = exchange.recordVersions(from, heartbeat.versions());
+                reevaluate = hasNewVersion || !gate.isOpen();
                 yield List.of();
             }
             case ConfigurationWanted wanted ->
                 exchange.answer(from, wanted).stream().toList();
-            case ConfigurationDocument document -> reconsiderAfter(peerDocuments.take(from, document));
-            case ConfigurationChange change -> reconsiderAfter(peerDocuments.take(now, from, change));
+            case ConfigurationDocument document -> reevaluateAfter(peerDocuments.handle(from, document));
+            case ConfigurationChange change -> reevaluateAfter(peerDocuments.handle(now, from, change));
             case PeerMessage.PeerRequest _,
                     PeerMessage.PeerAnswer _,
                     PeerMessage.CancelAttempt _,
@@ -157,31 +157,31 @@
         };
     }
 
-    private List<Effect> reconsiderAfter(List<Effect> effects) {
-        reconsider = true;
+    private List<Effect> reevaluateAfter(List<Effect> effects) {
+        reevaluate = true;
         return effects;
     }
 
     private List<Effect> wakeUp(long now) {
         reads.follow(documents.followed());
         electReaders(now);
-        List<Effect> effects = new ArrayList<>(exchange.askForWhatOthersHave(now));
-        if (gate.tryOpen(now, documents.newestOwn(), exchange::answered, exchange.behind(now))) {
-            effects.addAll(adoption.bringAllIntoForce());
+        List<Effect> effects = new ArrayList<>(exchange.requestNewerVersions(now));
+        if (gate.tryOpen(now, documents.newestOwn(), exchange::hasReported, exchange.isBehind(now))) {
+            effects.addAll(adoption.putAllInForce());
         }
-        effects.addAll(reads.start(
+        effects.addAll(reads.startDue(
                 now,
                 documents.own(),
                 service -> mayRead(now, service),
-                service -> documents.of(service).settledVersion()));
+                service -> documents.of(service).highestCheckedVersion()));
         nextWakeNanos =
                 Math.min(now + ELECTION_INTERVAL_NANOS, Math.min(reads.nextWakeNanos(), gate.nextWakeNanos(now)));
         return effects;
     }
 
-    /** A node that is just getting its first document from another needn't read the same. */
+    /** A node that is receiving its first document from a peer need not read it from the platform too. */
     private boolean mayRead(long now, ServiceName service) {
-        return documents.of(service).newest().isPresent() || !exchange.pulling(now, service);
+        return documents.of(service).newest().isPresent() || !exchange.isRequestPending(now, service);
     }
 
     private void electReaders(long now) {
@@ -189,19 +189,20 @@
         if (own.isEmpty()) {
             return;
         }
-        Collection<NodeName> candidates = new HashSet<>(exchange.neighbours(now));
+        Collection<NodeName> candidates = new HashSet<>(exchange.nodesInContact(now));
         candidates.add(self);
-        reads.neighbours(now, candidates.size());
+        reads.nodesInContact(now, candidates.size());
         for (ServiceName service : documents.followed()) {
             boolean elected = ReaderElection.elect(service, own.get(), candidates, settings.readersPerService())
                     .contains(self);
-            boolean broughtByCalled = !service.equals(documents.own()) && exchange.hearsCalled(now, service);
-            reads.role(now, service, elected && !broughtByCalled);
+            boolean sentByCalledService =
+                    !service.equals(documents.own()) && exchange.isInContactWithCalled(now, service);
+            reads.setReader(now, service, elected && !sentByCalledService);
         }
     }
 
     /**
-     * Gives the configuration under which this node acts.
+     * Returns the configuration in force at this node.
      *
      * @param service the service
      * @return its configuration; empty before the node is ready to serve
@@ -211,8 +212,8 @@
     }
 
     /**
-     * Gives the newest configuration that this node holds, also before it is in force; a starting node finds its peers by
-     * it.
+     * Returns the newest configuration that this node has, even before it is in force. A starting node finds its peers
+     * in it.
      *
      * @param service the service
      * @return its configuration
@@ -222,8 +223,8 @@
     }
 
     /**
-     * Counts the documents taken in, so that a caller sees cheaply whether {@link #newest} or {@link #inForce} may have
-     * changed.
+     * Returns a number that rises when documents are stored or put in force. A caller can compare it to detect whether
+     * {@link #newest} or {@link #inForce} may have changed.
      *
      * @return a number that rises with each change
      */
@@ -232,7 +233,7 @@
     }
 
     /**
-     * Gives the versions in force.
+     * Returns the versions in force.
      *
      * @return the version by service
      */
@@ -245,17 +246,17 @@
     }
 
     /**
-     * Gives the versions that a heartbeat to a node should carry.
+     * Returns the versions to send in a heartbeat to a node.
      *
-     * @param peer the other node
-     * @return the version held by service, 0 where this node has none yet
+     * @param peer the receiver
+     * @return the newest version of each service's document at this node; 0 if it has none yet
      */
     public Map<ServiceName, Long> versionsFor(NodeName peer) {
         return exchange.versionsFor(peer);
     }
 
     /**
-     * Gives the last refused document of each service, as long as no newer one is held.
+     * Returns the last refused document of each service, as long as no newer valid one is known.
      *
      * @return the refused document by service
      */
@@ -268,16 +269,16 @@
     }
 
     /**
-     * Tells whether what is in force may be acted upon.
+     * Returns whether the node may serve under the configuration in force.
      *
-     * @return whether this node has learned what its peers have in force
+     * @return whether this node knows the versions in force at its peers
      */
     public boolean readyToServe() {
         return gate.isOpen();
     }
 
     /**
-     * Tells when to wake it if nothing happens before.
+     * Returns when to deliver the next wake-up if no event occurs before.
      *
      * @return nanoseconds on the monotonic clock
      */
--- a/policy/src/main/java/org/carawaysill/policy/distribution/DocumentHistory.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DocumentHistory.java
@@ -13,15 +13,16 @@
 import org.carawaysill.policy.message.PeerMessage.ConfigurationDocument;
 
 /**
- * The newest text of a service's document and a few earlier ones, from which changes are made for nodes that have those.
+ * Stores the newest text of a service's document and a few earlier ones, and computes changes for nodes that have an
+ * earlier one.
  *
- * <p>Invariant: versions rise; earlier texts together stay below a fixed size. Not thread safe: one thread owns it.
+ * <p>Invariant: versions rise; the total size of earlier texts is bounded. Not thread safe: one thread owns it.
  */
 final class DocumentHistory {
 
-    private static final int EARLIER_TEXTS = 4;
-    private static final int EARLIER_CHARACTERS = 2_000_000;
-    private static final int BYTES_PER_EDIT = 8;
+    private static final int MAX_EARLIER_TEXTS = 4;
+    private static final int MAX_EARLIER_CHARACTERS = 2_000_000;
+    private static final int OVERHEAD_BYTES_PER_EDIT = 8;
 
     private final ServiceName service;
     private final Deque<Text> earlier = new ArrayDeque<>();
@@ -36,7 +37,7 @@
         newest.ifPresent(earlier::addFirst);
         newest = Optional.of(new Text(version, text));
         changes.clear();
-        while (earlier.size() > EARLIER_TEXTS || charactersOfEarlier() > EARLIER_CHARACTERS) {
+        while (earlier.size() > MAX_EARLIER_TEXTS || charactersOfEarlier() > MAX_EARLIER_CHARACTERS) {
             earlier.removeLast();
         }
     }
@@ -50,26 +51,28 @@
     }
 
     /**
-     * Makes what brings a node from a version to the newest one.
+     * Returns the message that updates a node from a given version to the newest one.
      *
      * @param knownVersion the version that the node has, 0 for none
-     * @return a change where the earlier text is still held and the change is the smaller one, else the document
+     * @return a change if the earlier text is still stored and the change is smaller than the document; otherwise the
+     *     document; empty if the node's version is not older
      */
     Optional<PeerMessage> update(long knownVersion) {
         if (newest.isEmpty() || newest.get().version <= knownVersion) {
             return Optional.empty();
         }
         Text text = newest.get();
-        Optional<ConfigurationChange> change = change(knownVersion).filter(found -> size(found) < text.text.length());
+        Optional<ConfigurationChange> change =
+                change(knownVersion).filter(found -> estimatedSize(found) < text.text.length());
         return Optional.of(
                 change.isPresent() ? change.get() : new ConfigurationDocument(service, text.version, text.text));
     }
 
     /**
-     * Makes the change from an earlier version to the newest one.
+     * Returns the change from an earlier version to the newest one.
      *
      * @param baseVersion the earlier version
-     * @return the change; empty where the earlier text is no longer held
+     * @return the change; empty if the earlier text is no longer stored
      */
     Optional<ConfigurationChange> change(long baseVersion) {
         ConfigurationChange made = changes.get(baseVersion);
@@ -98,7 +101,7 @@
      * Applies a change that another node sent.
      *
      * @param change the change
-     * @return the resulting text; empty unless it applies to the newest text here and its checksum agrees
+     * @return the resulting text; empty unless the change applies to the newest text here and its checksum matches
      */
     Optional<String> apply(ConfigurationChange change) {
         return newest.filter(text -> text.version == change.baseVersion())
@@ -108,14 +111,14 @@
     }
 
     /**
-     * Estimates the bytes of a change on the wire.
+     * Estimates the encoded size of a change.
      *
      * @param change the change
-     * @return its size, with a few bytes for each edit
+     * @return the size in bytes, including a fixed overhead per edit
      */
-    static int size(ConfigurationChange change) {
+    static int estimatedSize(ConfigurationChange change) {
         return change.edits().stream()
-                .mapToInt(edit -> BYTES_PER_EDIT
+                .mapToInt(edit -> OVERHEAD_BYTES_PER_EDIT
                         + edit.addedLines().stream()
                                 .mapToInt(line -> line.length() + 2)
                                 .sum())
--- a/policy/src/main/java/org/carawaysill/policy/distribution/LineDifference.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/LineDifference.java
@@ -6,28 +6,28 @@
 import org.carawaysill.policy.message.PeerMessage.LineEdit;
 
 /**
- * Finds and applies the difference between two texts by lines.
+ * Computes and applies the line-based difference between two texts.
  *
- * <p>Invariant: applying the edits found between two texts to the first gives the second. The edits are short for a few
- * scattered changes and never cost more than a fixed number of comparisons: where that is spent, one edit replaces the
- * rest. No shared state; thread safe.
+ * <p>Invariant: applying the computed edits to the first text yields the second. The edits are short for a few
+ * scattered changes. The number of comparisons is bounded: when it is used up, one edit replaces the rest. No shared
+ * state; thread safe.
  */
 final class LineDifference {
 
-    /** Equal lines in a row that count as the texts running together again. */
-    private static final int RUN = 3;
+    /** The number of consecutive equal lines at which the texts count as matching again. */
+    private static final int MATCHING_LINES = 3;
 
-    /** How many lines one change may remove and add together before the rest is replaced. */
-    private static final int WINDOW = 400;
+    /** The maximum number of lines that one edit removes and adds in total before the rest is replaced. */
+    private static final int MAX_CHANGED_LINES = 400;
 
-    private static final int COMPARISONS = 500_000;
+    private static final int MAX_COMPARISONS = 500_000;
 
     private final List<String> base;
     private final List<String> target;
     private final int baseEnd;
     private final int targetEnd;
     private final List<LineEdit> edits = new ArrayList<>();
-    private int comparisonsLeft = COMPARISONS;
+    private int comparisonsLeft = MAX_COMPARISONS;
 
     private LineDifference(List<String> base, List<String> target) {
         this.base = base;
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Splits a text such that {@link #join(List)} gives it back.
+     * Splits a text so that {@link #join(List)} restores it.
      *
      * @param text the text
      * @return its lines
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Joins lines to the text that they were split from.
+     * Joins lines into the text that they were split from.
      *
      * @param lines the lines
      * @return the text
@@ -58,22 +58,22 @@
     }
 
     /**
-     * Finds the edits that lead from one text to another.
+     * Computes the edits that transform one text into another.
      *
-     * @param base the lines before
-     * @param target the lines after
-     * @return the replaced ranges, in rising order
+     * @param base the lines of the original text
+     * @param target the lines of the resulting text
+     * @return the replaced ranges, in ascending order
      */
     static List<LineEdit> between(List<String> base, List<String> target) {
-        return new LineDifference(base, target).find();
+        return new LineDifference(base, target).computeEdits();
     }
 
     /**
      * Applies edits.
      *
-     * @param base the lines before
-     * @param edits the replaced ranges, in rising order
-     * @return the lines after; empty if the edits don't fit the base
+     * @param base the lines of the original text
+     * @param edits the replaced ranges, in ascending order
+     * @return the resulting lines; empty if the edits don't apply to the base
      */
     static Optional<List<String>> apply(List<String> base, List<LineEdit> edits) {
         List<String> result = new ArrayList<>(base.size());
@@ -101,33 +101,33 @@
         return suffix;
     }
 
-    private List<LineEdit> find() {
+    private List<LineEdit> computeEdits() {
         Position position = new Position(0, 0);
         while (position.inBase < baseEnd || position.inTarget < targetEnd) {
             if (sameLine(position.inBase, position.inTarget)) {
                 position = new Position(position.inBase + 1, position.inTarget + 1);
             } else {
-                position = replaceFrom(position);
+                position = addEdit(position);
             }
         }
         return edits;
     }
 
-    private Position replaceFrom(Position from) {
-        Position next = whereTextsMeet(from);
+    private Position addEdit(Position from) {
+        Position next = nextMatch(from);
         edits.add(new LineEdit(
                 from.inBase, next.inBase - from.inBase, List.copyOf(target.subList(from.inTarget, next.inTarget))));
         return next;
     }
 
-    private Position whereTextsMeet(Position from) {
-        for (int distance = 1; distance <= WINDOW; distance++) {
+    private Position nextMatch(Position from) {
+        for (int distance = 1; distance <= MAX_CHANGED_LINES; distance++) {
             for (int removed = 0; removed <= distance; removed++) {
                 Position candidate = new Position(from.inBase + removed, from.inTarget + distance - removed);
                 if (comparisonsLeft <= 0) {
                     return new Position(baseEnd, targetEnd);
                 }
-                if (runsTogether(candidate)) {
+                if (matchesAt(candidate)) {
                     return candidate;
                 }
             }
@@ -135,8 +135,8 @@
         return new Position(baseEnd, targetEnd);
     }
 
-    private boolean runsTogether(Position candidate) {
-        for (int i = 0; i < RUN; i++) {
+    private boolean matchesAt(Position candidate) {
+        for (int i = 0; i < MATCHING_LINES; i++) {
             int inBase = candidate.inBase + i;
             int inTarget = candidate.inTarget + i;
             if (inBase == baseEnd && inTarget == targetEnd) {
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PeerVersions.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PeerVersions.java
@@ -13,14 +13,14 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Which documents the connected nodes follow, in which version as far as is known, and when each was last heard.
+ * Tracks which documents the connected nodes follow, their known versions, and when each node was last heard from.
  *
- * <p>Invariant: only connected nodes are held, in the order of their names. Not thread safe: one thread owns it.
+ * <p>Invariant: only connected nodes have versions, in the order of their names. Not thread safe: one thread owns it.
  */
 final class PeerVersions {
 
     private final Map<NodeName, Peer> peers = new TreeMap<>();
-    private final Set<NodeName> answered = new HashSet<>();
+    private final Set<NodeName> hasReported = new HashSet<>();
 
     void connected(long now, NodeName node) {
         peers.put(node, new Peer(now));
@@ -30,7 +30,7 @@
         peers.remove(node);
     }
 
-    void heard(long now, NodeName node) {
+    void recordContact(long now, NodeName node) {
         Peer peer = peers.get(node);
         if (peer != null) {
             peer.lastHeardNanos = now;
@@ -38,13 +38,13 @@
     }
 
     /**
-     * Takes in the versions that a node told.
+     * Records the versions that a node reported.
      *
      * @param node the node
-     * @param versions its versions by service, which replace what was assumed
+     * @param versions its versions by service, which replace assumed ones
      */
-    void told(NodeName node, Map<ServiceName, Long> versions) {
-        answered.add(node);
+    void recordVersions(NodeName node, Map<ServiceName, Long> versions) {
+        hasReported.add(node);
         Peer peer = peers.get(node);
         if (peer != null) {
             peer.versions.putAll(versions);
@@ -52,13 +52,13 @@
     }
 
     /**
-     * Notes a version that a node has or is about to have.
+     * Records a version that a node has or is about to receive.
      *
      * @param node the node
      * @param service the document's service
      * @param version the version
      */
-    void assume(NodeName node, ServiceName service, long version) {
+    void recordAssumedVersion(NodeName node, ServiceName service, long version) {
         Peer peer = peers.get(node);
         if (peer != null) {
             peer.versions.merge(service, version, Math::max);
@@ -69,16 +69,18 @@
         return peers.containsKey(node);
     }
 
-    /** Whether a node told its versions since this process started, also if it is no longer connected. */
-    boolean answered(NodeName node) {
-        return answered.contains(node);
+    /**
+     * Returns whether a node has reported its versions since this process started, even if it is no longer connected.
+     */
+    boolean hasReported(NodeName node) {
+        return hasReported.contains(node);
     }
 
-    List<NodeName> heardSince(long since, Collection<NodeName> nodes) {
-        return nodes.stream().filter(node -> heardSince(since, node)).toList();
+    List<NodeName> heardFromSince(long since, Collection<NodeName> nodes) {
+        return nodes.stream().filter(node -> heardFromSince(since, node)).toList();
     }
 
-    boolean heardSince(long since, NodeName node) {
+    boolean heardFromSince(long since, NodeName node) {
         Peer peer = peers.get(node);
         return peer != null && peer.lastHeardNanos >= since;
     }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PlatformAnswers.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PlatformAnswers.java
@@ -8,7 +8,7 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * Takes in what reads at the platform came to, and passes on what was new.
+ * Handles the outcomes of reads at the platform, and forwards new versions to other nodes.
  *
  * <p>Not thread safe: one thread owns it.
  */
@@ -26,8 +26,10 @@
         this.reads = reads;
     }
 
-    /** A replica that lags gives an older version than is held; trying again at once would meet the same replica. */
-    List<Effect> take(long now, Event.ConfigurationRead read) {
+    /**
+     * A lagging replica returns an older version than the stored one; an immediate retry would reach the same replica.
+     */
+    List<Effect> handle(long now, Event.ConfigurationRead read) {
         ServiceName service = read.configuration().service();
         ReadSchedule schedule = reads.schedule(service);
         long held = documents.of(service).version();
@@ -36,31 +38,31 @@
             return List.of(new Effect.Count(ConfigurationCount.STALE_READ));
         }
         if (read.configuration().version() == held) {
-            schedule.gotNothing(now);
+            schedule.nothingNewer(now);
             return List.of();
         }
-        schedule.gotNewer(now);
-        List<Effect> effects = new ArrayList<>(adoption.hold(read.configuration(), read.text()));
+        schedule.newerReceived(now);
+        List<Effect> effects = new ArrayList<>(adoption.store(read.configuration(), read.text()));
         effects.addAll(exchange.push(service));
         return effects;
     }
 
-    List<Effect> take(long now, Event.ConfigurationRefused refusal) {
+    List<Effect> handle(long now, Event.ConfigurationRefused refusal) {
         ServiceName service = refusal.service();
-        if (refusal.version() > documents.of(service).settledVersion()) {
-            reads.schedule(service).gotNewer(now);
+        if (refusal.version() > documents.of(service).highestCheckedVersion()) {
+            reads.schedule(service).newerReceived(now);
         } else {
             reads.schedule(service).failed(now);
         }
         return adoption.refuse(service, new RefusedDocument(refusal.version(), refusal.message()));
     }
 
-    List<Effect> take(long now, Event.ConfigurationUnchanged unchanged) {
-        reads.schedule(unchanged.service()).gotNothing(now);
+    List<Effect> handle(long now, Event.ConfigurationUnchanged unchanged) {
+        reads.schedule(unchanged.service()).nothingNewer(now);
         return List.of();
     }
 
-    List<Effect> take(long now, Event.ConfigurationReadFailed failed) {
+    List<Effect> handle(long now, Event.ConfigurationReadFailed failed) {
         reads.schedule(failed.service()).failed(now);
         return List.of(new Effect.Count(ConfigurationCount.READ_FAILED));
     }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PlatformReads.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PlatformReads.java
@@ -14,30 +14,31 @@
 import org.carawaysill.policy.effect.Effect;
 
 /**
- * This node's reads at the platform, paced so that the whole fleet stays below the platform's rate.
+ * Schedules this node's reads at the platform, paced so that the whole fleet stays below the platform's rate limit.
  *
- * <p>Invariant: two reads of this node are at least a pace apart that grows with the fleet, so that the reads of all nodes
- * together have a bound that does not, also when each believes itself alone. Not thread safe: one thread owns it.
+ * <p>Invariant: two reads of this node are separated by at least an interval that grows with the fleet, so that the
+ * total read rate has a bound that does not grow, even when every node sees no other node. Not thread safe: one thread
+ * owns it.
  */
 final class PlatformReads {
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final long SHORTEST_PACE_NANOS = Duration.ofMillis(250).toNanos();
+    private static final long MIN_READ_INTERVAL_NANOS = Duration.ofMillis(250).toNanos();
 
-    /** How long a starting node waits for the list of VMs, which tells how large the fleet is. */
-    private static final long FLEET_WAIT_NANOS = NANOS_PER_SECOND;
+    /** How long a starting node waits for the list of VMs, which shows the size of the fleet. */
+    private static final long VM_LIST_WAIT_NANOS = NANOS_PER_SECOND;
 
-    /** The fleet's size that is assumed until the list of VMs tells it. */
-    private static final int ASSUMED_FLEET = 3_500;
+    /** The assumed size of the fleet until the list of VMs is known. */
+    private static final int ASSUMED_FLEET_SIZE = 3_500;
 
     private final DistributionSettings settings;
     private final RandomGenerator random;
     private final Map<ServiceName, ReadSchedule> schedules = new TreeMap<>();
-    private int fleet = ASSUMED_FLEET;
+    private int fleetSize = ASSUMED_FLEET_SIZE;
     private boolean fleetKnown;
-    private int neighbours = 1;
+    private int nodesInContact = 1;
     private long lastReadNanos;
-    private boolean anyRead;
+    private boolean hasRead;
     private long nextAuditNanos = Long.MAX_VALUE;
 
     PlatformReads(DistributionSettings settings, RandomGenerator random) {
@@ -46,64 +47,71 @@
     }
 
     /**
-     * Plans the first read of a node that has just started: later for a large fleet, since all may start together.
+     * Schedules the first read of a node that has just started: later in a large fleet, since all nodes may start at
+     * once.
      *
      * @param now nanoseconds on the monotonic clock
      * @param own the node's service
      */
-    void start(long now, ServiceName own) {
-        schedule(own).readerFrom(now + FLEET_WAIT_NANOS + random.nextLong(spreadOfAllNanos() + 1));
+    void scheduleFirstRead(long now, ServiceName own) {
+        schedule(own).startReadingAt(now + VM_LIST_WAIT_NANOS + random.nextLong(fleetSpreadNanos() + 1));
     }
 
     /**
-     * Takes in the size of the fleet; the first time it also brings the first read forward.
+     * Updates the size of the fleet; the first update also reschedules the first read to an earlier time.
      *
      * @param now nanoseconds on the monotonic clock
      * @param size the number of listed VMs
      */
-    void fleet(long now, int size) {
-        fleet = Math.max(1, size);
-        if (!fleetKnown && !anyRead) {
-            schedules.values().forEach(schedule -> schedule.readerFrom(now + random.nextLong(spreadOfAllNanos() + 1)));
+    void fleetSize(long now, int size) {
+        fleetSize = Math.max(1, size);
+        if (!fleetKnown && !hasRead) {
+            schedules
+                    .values()
+                    .forEach(schedule -> schedule.startReadingAt(now + random.nextLong(fleetSpreadNanos() + 1)));
         }
         fleetKnown = true;
     }
 
     /**
-     * Takes in how many nodes of the own service hear one another, this one included.
+     * Updates how many nodes of the own service are in contact with each other, including this one.
      *
      * @param now nanoseconds on the monotonic clock
      * @param count the number, at least 1
      */
-    void neighbours(long now, int count) {
-        neighbours = count;
+    void nodesInContact(long now, int count) {
+        nodesInContact = count;
         if (nextAuditNanos == Long.MAX_VALUE) {
-            planAudit(now);
+            scheduleAudit(now);
         }
     }
 
-    private void planAudit(long now) {
-        double mean = (double) settings.auditInterval().toNanos() * neighbours;
+    private void scheduleAudit(long now) {
+        double mean = (double) settings.auditInterval().toNanos() * nodesInContact;
         nextAuditNanos = now + (long) (mean * 2 * random.nextDouble());
     }
 
-    /** The time over which one read of every node is spread. */
-    private long spreadOfAllNanos() {
-        return fleet * NANOS_PER_SECOND / settings.fleetReadsPerSecond();
+    /** Returns the time over which one read by every node is spread. */
+    private long fleetSpreadNanos() {
+        return fleetSize * NANOS_PER_SECOND / settings.fleetReadsPerSecond();
     }
 
-    /** As {@link #spreadOfAllNanos()}, less where only some of the nodes that hear one another read. */
-    private long paceNanos() {
-        long spread = spreadOfAllNanos();
-        return Math.max(SHORTEST_PACE_NANOS, Math.min(spread, spread * settings.readersPerService() / neighbours));
+    /**
+     * Returns the minimum time between two reads of this node: {@link #fleetSpreadNanos()}, or less if only some of the
+     * nodes that are in contact with each other read.
+     */
+    private long minIntervalNanos() {
+        long spread = fleetSpreadNanos();
+        return Math.max(
+                MIN_READ_INTERVAL_NANOS, Math.min(spread, spread * settings.readersPerService() / nodesInContact));
     }
 
     ReadSchedule schedule(ServiceName service) {
         return schedules.computeIfAbsent(service, _ -> new ReadSchedule(random));
     }
 
-    void role(long now, ServiceName service, boolean reader) {
-        schedule(service).role(now, reader, paceNanos());
+    void setReader(long now, ServiceName service, boolean reader) {
+        schedule(service).setReader(now, reader, minIntervalNanos());
     }
 
     void follow(Set<ServiceName> services) {
@@ -111,15 +119,15 @@
     }
 
     /**
-     * Starts what is due.
+     * Starts the reads that are due.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param own the own service, which also gets audits
-     * @param wanted whether a document should be read at the platform now
-     * @param known the version after which a document is news
+     * @param own the own service, which is also audited
+     * @param wanted whether a document may be read at the platform now
+     * @param known the version above which a document is new
      * @return the reads
      */
-    List<Effect> start(long now, ServiceName own, Predicate<ServiceName> wanted, ToLongFunction<ServiceName> known) {
+    List<Effect> startDue(long now, ServiceName own, Predicate<ServiceName> wanted, ToLongFunction<ServiceName> known) {
         List<Effect> effects = new ArrayList<>();
         schedules.forEach((service, schedule) -> {
             schedule.expireLost(now);
@@ -129,11 +137,11 @@
             if (wanted.test(service)) {
                 effects.addAll(read(now, service, known.applyAsLong(service), settings.patience()));
             } else {
-                schedule.postpone(now + SHORTEST_PACE_NANOS);
+                schedule.postpone(now + MIN_READ_INTERVAL_NANOS);
             }
         });
         if (now >= nextAuditNanos) {
-            planAudit(now);
+            scheduleAudit(now);
             if (!schedule(own).reader() && !schedule(own).open() && mayRead(now)) {
                 effects.addAll(read(now, own, known.applyAsLong(own), Duration.ZERO));
             }
@@ -142,12 +150,12 @@
     }
 
     private boolean mayRead(long now) {
-        return !anyRead || now - lastReadNanos >= paceNanos();
+        return !hasRead || now - lastReadNanos >= minIntervalNanos();
     }
 
     private List<Effect> read(long now, ServiceName service, long known, Duration patience) {
         lastReadNanos = now;
-        anyRead = true;
+        hasRead = true;
         schedule(service).opened(now, patience);
         return List.of(
                 new Effect.Count(ConfigurationCount.READ), new Effect.ReadConfiguration(service, known, patience));
@@ -158,7 +166,7 @@
                 .mapToLong(ReadSchedule::nextWakeNanos)
                 .min()
                 .orElse(Long.MAX_VALUE);
-        long allowed = anyRead ? lastReadNanos + paceNanos() : Long.MIN_VALUE;
+        long allowed = hasRead ? lastReadNanos + minIntervalNanos() : Long.MIN_VALUE;
         return Math.max(allowed, Math.min(due, nextAuditNanos));
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/ReadSchedule.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/ReadSchedule.java
@@ -4,20 +4,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When one document is read at the platform next.
+ * Schedules the reads of one document at the platform.
  *
  * <p>Invariant: at most one read is open at a time. Not thread safe: one thread owns it.
  */
 final class ReadSchedule {
 
-    private static final long FIRST_BACKOFF_NANOS = Duration.ofMillis(250).toNanos();
+    private static final long INITIAL_BACKOFF_NANOS = Duration.ofMillis(250).toNanos();
 
-    /** A platform that comes back is noticed within this time, and 3,500 nodes that retry stay below its rate. */
-    private static final long LONGEST_BACKOFF_NANOS = Duration.ofSeconds(4).toNanos();
+    /** A recovered platform is noticed within this time, and 3,500 nodes that retry stay below its rate limit. */
+    private static final long MAX_BACKOFF_NANOS = Duration.ofSeconds(4).toNanos();
 
     /**
-     * A read whose outcome never comes back, as when the adapter's connection was replaced under it, would end the
-     * watching of this document for good; after this time beyond its patience it counts as failed.
+     * A read whose outcome never arrives, as when the adapter's connection was replaced meanwhile, would permanently
+     * stop the watch of this document; so it counts as failed after this time beyond its patience.
      */
     private static final long LOST_AFTER_NANOS = Duration.ofSeconds(10).toNanos();
 
@@ -42,13 +42,13 @@
     }
 
     /**
-     * Makes this node a reader of the document, or no longer one; an open watch then runs out.
+     * Sets whether this node is a reader of the document. When it stops being one, an open watch ends by itself.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param nowReader whether it is one from now on
-     * @param spreadNanos over which the first reads of all new readers are spread
+     * @param nowReader whether it is a reader from now on
+     * @param spreadNanos the time over which the first reads of all new readers are spread
      */
-    void role(long now, boolean nowReader, long spreadNanos) {
+    void setReader(long now, boolean nowReader, long spreadNanos) {
         if (nowReader && !reader) {
             dueNanos = Math.min(dueNanos, now + random.nextLong(spreadNanos + 1));
         } else if (!nowReader && reader) {
@@ -58,21 +58,21 @@
     }
 
     /**
-     * Makes this node a reader with a given time for the first read.
+     * Makes this node a reader, with the given time of its first read.
      *
      * @param atNanos nanoseconds on the monotonic clock
      */
-    void readerFrom(long atNanos) {
+    void startReadingAt(long atNanos) {
         reader = true;
         dueNanos = atNanos;
     }
 
     /**
-     * Asks for a read at or before a time.
+     * Schedules the next read at or before a time.
      *
      * @param atNanos nanoseconds on the monotonic clock
      */
-    void dueBy(long atNanos) {
+    void scheduleBy(long atNanos) {
         dueNanos = Math.min(dueNanos, atNanos);
     }
 
@@ -97,36 +97,36 @@
         }
     }
 
-    /** A newer document came, valid or not: the next watch starts at once. */
-    void gotNewer(long now) {
+    /** Handles a newer document, valid or not: the next watch starts at once. */
+    void newerReceived(long now) {
         failures = 0;
         close(now);
     }
 
     /**
-     * Nothing newer came. A watch that ends long before its patience would make a busy loop of reads, so it counts as a
-     * failure.
+     * Handles a read without a newer document. A watch that ends long before its patience counts as a failure, since it
+     * would cause a busy loop of reads.
      *
      * @param now nanoseconds on the monotonic clock
      */
-    void gotNothing(long now) {
+    void nothingNewer(long now) {
         if (open && now - openedNanos < patienceNanos / 2) {
             failed(now);
             return;
         }
-        gotNewer(now);
+        newerReceived(now);
     }
 
     void failed(long now) {
         failures++;
-        long backoff = Math.min(LONGEST_BACKOFF_NANOS, FIRST_BACKOFF_NANOS << Math.min(failures - 1, 8));
+        long backoff = Math.min(MAX_BACKOFF_NANOS, INITIAL_BACKOFF_NANOS << Math.min(failures - 1, 8));
         close(now + backoff / 2 + random.nextLong(backoff / 2 + 1));
     }
 
     private void close(long nextNanos) {
         open = false;
         if (reader) {
-            dueBy(nextNanos);
+            scheduleBy(nextNanos);
         }
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/distribution/StartingGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/StartingGate.java
@@ -10,26 +10,26 @@
 import org.carawaysill.model.vm.VmList;
 
 /**
- * Holds back what a starting node has read until it has learned what its peers have in force.
+ * Keeps a starting node from putting documents in force until it knows the versions in force at its peers.
  *
- * <p>The failure: a node restarts with empty memory and reads a replica of the platform that lags; it would serve under an
- * older configuration than before its restart. Every configuration in force is held by the other nodes of the service
- * within seconds, so the answers of all of them, or of a majority where some can't be reached, show it. A node that hears
- * nobody keeps waiting: it can't tell an old document from the newest.
+ * <p>Guards against a node that restarts without state, reads a lagging replica of the platform, and serves under an
+ * older configuration than before its restart. Every configuration in force reaches the other nodes of the service
+ * within seconds, so the answers of all of them, or of a majority if some can't be reached, show it. A node without
+ * contact to any other keeps waiting, since it can't distinguish an old document from the newest.
  *
- * <p>Invariant: once open it stays open. Not thread safe: one thread owns it.
+ * <p>Invariant: once open, the gate stays open. Not thread safe: one thread owns it.
  */
 final class StartingGate {
 
     private final NodeName self;
-    private final long boundNanos;
+    private final long timeoutNanos;
     private long documentSinceNanos = Long.MAX_VALUE;
     private Optional<VmList> vmList = Optional.empty();
     private boolean open;
 
-    StartingGate(NodeName self, Duration bound) {
+    StartingGate(NodeName self, Duration timeout) {
         this.self = self;
-        this.boundNanos = bound.toNanos();
+        this.timeoutNanos = timeout.toNanos();
     }
 
     boolean isOpen() {
@@ -41,12 +41,12 @@
     }
 
     /**
-     * Opens it if enough others have answered.
+     * Opens the gate if enough other nodes have answered.
      *
      * @param now nanoseconds on the monotonic clock
      * @param own the newest configuration of the own service, if there is one
-     * @param answered whether a node has told its versions
-     * @param behind whether a connected node is known to have a newer version that hasn't arrived yet
+     * @param answered whether a node has reported its versions
+     * @param behind whether a connected node is known to have a newer version that has not been received yet
      * @return whether it opened just now
      */
     boolean tryOpen(long now, Optional<ServiceConfiguration> own, Predicate<NodeName> answered, boolean behind) {
@@ -66,22 +66,22 @@
         if (others.stream().allMatch(answered)) {
             return true;
         }
-        if (now < documentSinceNanos + boundNanos) {
+        if (now < documentSinceNanos + timeoutNanos) {
             return false;
         }
         List<NodeName> expected = others.stream()
-                .filter(node -> answered.test(node) || mayLive(node))
+                .filter(node -> answered.test(node) || mayAnswer(node))
                 .toList();
         return expected.stream().filter(answered).count() * 2 > expected.size() || expected.isEmpty();
     }
 
-    /** A VM that the list no longer has will not answer; while there is no list, every node may be there. */
-    private boolean mayLive(NodeName node) {
+    /** Returns whether a node may still answer: its VM is in the list, or the list is not known yet. */
+    private boolean mayAnswer(NodeName node) {
         return vmList.map(list -> list.state(node).isPresent()).orElse(true);
     }
 
     long nextWakeNanos(long now) {
-        boolean waiting = !open && documentSinceNanos != Long.MAX_VALUE && now < documentSinceNanos + boundNanos;
-        return waiting ? documentSinceNanos + boundNanos : Long.MAX_VALUE;
+        boolean waiting = !open && documentSinceNanos != Long.MAX_VALUE && now < documentSinceNanos + timeoutNanos;
+        return waiting ? documentSinceNanos + timeoutNanos : Long.MAX_VALUE;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/time/SlidingCount.java
+++ b/policy/src/main/java/org/carawaysill/policy/time/SlidingCount.java
@@ -1,93 +1,94 @@
 package org.carawaysill.policy.time;
 
 /**
- * Counts occurrences within the last parts of time.
+ * Counts occurrences within a sliding window that consists of equal time intervals.
  *
- * <p>Invariant: a part leaves the count whole, when that many parts have begun after it. Not thread safe: owned by the policy.
+ * <p>Invariant: an interval leaves the count as a whole, once as many intervals have begun after it as the window has.
+ * Not thread safe: owned by the policy.
  */
 public final class SlidingCount {
 
     private final int[] counts;
-    private final long partNanos;
-    private long part;
+    private final long intervalNanos;
+    private long currentInterval;
     private int sum;
 
     /**
-     * Starts with nothing counted.
+     * Creates an empty count.
      *
      * @param now the monotonic time
-     * @param partNanos the length of a part in nanoseconds; 0 counts as 1
-     * @param parts how many parts count, the present one included
+     * @param intervalNanos the length of an interval in nanoseconds; 0 counts as 1
+     * @param intervals the number of intervals in the window, including the current one
      */
-    public SlidingCount(long now, long partNanos, int parts) {
-        this.partNanos = Math.max(1, partNanos);
-        counts = new int[parts];
-        part = Math.floorDiv(now, this.partNanos);
+    public SlidingCount(long now, long intervalNanos, int intervals) {
+        this.intervalNanos = Math.max(1, intervalNanos);
+        counts = new int[intervals];
+        currentInterval = Math.floorDiv(now, this.intervalNanos);
     }
 
-    private void moveTo(long now) {
-        long newPart = Math.floorDiv(now, partNanos);
-        for (long steps = Math.min(newPart - part, counts.length); steps > 0; steps--) {
-            part++;
-            sum -= counts[index(part)];
-            counts[index(part)] = 0;
+    private void advanceTo(long now) {
+        long newInterval = Math.floorDiv(now, intervalNanos);
+        for (long steps = Math.min(newInterval - currentInterval, counts.length); steps > 0; steps--) {
+            currentInterval++;
+            sum -= counts[index(currentInterval)];
+            counts[index(currentInterval)] = 0;
         }
-        part = Math.max(part, newPart);
+        currentInterval = Math.max(currentInterval, newInterval);
     }
 
-    private int index(long ofPart) {
-        return (int) Math.floorMod(ofPart, (long) counts.length);
+    private int index(long interval) {
+        return (int) Math.floorMod(interval, (long) counts.length);
     }
 
     /**
-     * Counts one.
+     * Counts one occurrence.
      *
      * @param now the monotonic time
      */
     public void add(long now) {
-        moveTo(now);
-        counts[index(part)]++;
+        advanceTo(now);
+        counts[index(currentInterval)]++;
         sum++;
     }
 
     /**
-     * Takes one back that was counted at an earlier time; one that has left the count is gone already.
+     * Removes an occurrence that was counted at an earlier time, unless its interval has already left the window.
      *
      * @param now the monotonic time
      * @param countedNanos when it was counted
      */
     public void takeBack(long now, long countedNanos) {
-        moveTo(now);
-        long counted = Math.floorDiv(countedNanos, partNanos);
-        if (part - counted < counts.length && counts[index(counted)] > 0) {
+        advanceTo(now);
+        long counted = Math.floorDiv(countedNanos, intervalNanos);
+        if (currentInterval - counted < counts.length && counts[index(counted)] > 0) {
             counts[index(counted)]--;
             sum--;
         }
     }
 
     /**
-     * Returns how many were counted within all parts.
+     * Returns the number of occurrences within the window.
      *
      * @param now the monotonic time
      * @return the count
      */
     public int sum(long now) {
-        moveTo(now);
+        advanceTo(now);
         return sum;
     }
 
     /**
-     * Returns how many were counted since a time, the whole part in which it lies included.
+     * Returns the number of occurrences since a time, including the whole interval that contains this time.
      *
      * @param now the monotonic time
      * @param fromNanos the time
      * @return the count
      */
     public int since(long now, long fromNanos) {
-        moveTo(now);
-        long first = Math.max(Math.floorDiv(fromNanos, partNanos), part - counts.length + 1);
+        advanceTo(now);
+        long first = Math.max(Math.floorDiv(fromNanos, intervalNanos), currentInterval - counts.length + 1);
         int recent = 0;
-        for (long each = first; each <= part; each++) {
+        for (long each = first; each <= currentInterval; each++) {
             recent += counts[index(each)];
         }
         return recent;
--- a/policy/src/test/java/org/carawaysill/policy/distribution/ConfigurationDistributionTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/ConfigurationDistributionTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** One node of a service of three, with the test in place of the platform and of the other nodes. */
+/** Tests one node of a service of three. The test takes the place of the platform and of the other nodes. */
 class ConfigurationDistributionTest {
 
     private static final ServiceName SERVICE = new ServiceName("manifests");
@@ -47,7 +47,7 @@
         return distribution.handle(now, event);
     }
 
-    private List<Effect> pass(Duration duration) {
+    private List<Effect> advance(Duration duration) {
         List<Effect> effects = new ArrayList<>();
         long end = now.nanos() + duration.toNanos();
         while (distribution.nextWakeNanos() <= end) {
@@ -93,7 +93,7 @@
                 .toList();
     }
 
-    private static Optional<ConfigurationWanted> question(List<Effect> effects) {
+    private static Optional<ConfigurationWanted> requestedDocument(List<Effect> effects) {
         return effects.stream()
                 .filter(Effect.SendToPeer.class::isInstance)
                 .map(effect -> ((Effect.SendToPeer) effect).message())
@@ -107,17 +107,17 @@
     }
 
     @Nested
-    class AStart {
+    class AStartingNode {
 
-        // Story: a node is replaced while one replica of the platform lags by an hour. It reads an old version from
-        // there
-        // and would serve under it, though it had served under the newest an hour ago and its peers still do.
+        // Guards against a fall of the version in force: a node is replaced while one replica of the platform lags by
+        // an hour. It reads an old version there and would serve under it, although it served under the newest before
+        // and its peers still do.
         @Test
         void doesNotServeUnderALaggingReplicasVersion() {
             read(3, TEXT);
             connect(SECOND, 9);
 
-            pass(Duration.ofSeconds(1));
+            advance(Duration.ofSeconds(1));
             assertFalse(distribution.readyToServe());
             assertEquals(Optional.empty(), distribution.inForce(SERVICE));
 
@@ -132,7 +132,7 @@
         void waitsWhileNobodyAnswers() {
             read(3, TEXT);
 
-            pass(Duration.ofMinutes(10));
+            advance(Duration.ofMinutes(10));
             assertFalse(distribution.readyToServe());
 
             connect(SECOND, 0);
@@ -141,30 +141,30 @@
         }
 
         @Test
-        void takesAMajorityAfterAWhile() {
+        void acceptsAMajorityAfterTheTimeout() {
             read(3, TEXT);
             connect(SECOND, 3);
-            pass(Duration.ofMinutes(1));
-            assertFalse(distribution.readyToServe(), "one of two others is no majority");
+            advance(Duration.ofMinutes(1));
+            assertFalse(distribution.readyToServe(), "one of two others is not a majority");
 
             handle(new Event.VmListRead(new VmList(Map.of(SELF, VmState.LIVE, SECOND, VmState.LIVE))));
             assertTrue(distribution.readyToServe(), "the third VM is gone");
         }
 
         @Test
-        void goesOnAloneOnlyWhenTheListShowsNoOther() {
+        void servesAloneOnlyIfTheListShowsNoOtherNode() {
             read(3, TEXT);
             handle(new Event.VmListRead(new VmList(Map.of(SELF, VmState.LIVE))));
             assertFalse(distribution.readyToServe());
 
-            pass(Duration.ofSeconds(4));
+            advance(Duration.ofSeconds(4));
             assertTrue(distribution.readyToServe());
         }
 
         @Test
         void needsNoPlatformWhereAPeerHasTheDocument() {
             handle(new Event.PeerConnected(SECOND, 1));
-            Optional<ConfigurationWanted> question = question(heartbeat(SECOND, 7));
+            Optional<ConfigurationWanted> question = requestedDocument(heartbeat(SECOND, 7));
 
             assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 0)), question);
             receive(SECOND, new ConfigurationDocument(SERVICE, 7, TEXT));
@@ -175,16 +175,15 @@
     @Nested
     class AnInvalidDocument {
 
-        // Story: an operator publishes a document with a fault. A watch that starts again from the version in force
-        // gets
-        // the same one at once, so that each reader would read it many times a second until the fault is mended.
+        // Guards against a busy loop of reads: an operator publishes an invalid document. A watch that starts from the
+        // version in force returns it at once, so each reader would read it many times a second until it is corrected.
         @Test
-        void isRefusedOnceShownAndWatchedPast() {
+        void isRefusedOnceReportedAndSkippedByWatches() {
             becomeReadyWith(3);
-            pass(Duration.ofSeconds(5));
+            advance(Duration.ofSeconds(5));
 
             List<Effect> effects = new ArrayList<>(read(4, "nonsense"));
-            effects.addAll(pass(Duration.ofSeconds(1)));
+            effects.addAll(advance(Duration.ofSeconds(1)));
 
             assertEquals(1, counted(effects, ConfigurationCount.REFUSED));
             assertEquals(Map.of(SERVICE, 3L), distribution.versions());
@@ -231,10 +230,11 @@
             assertEquals(4, other.newest(SERVICE).orElseThrow().version());
         }
 
-        // Story: two nodes hold texts that differ under one version number, as after a fault of the platform. A change
-        // made from one text and applied to the other would give a document that nobody published.
+        // Guards against a corrupted document: two nodes have different texts for one version number, as after a fault
+        // of the platform. A change computed from one text and applied to the other would yield a document that was
+        // never published.
         @Test
-        void withAWrongChecksumIsDroppedAndTheWholeDocumentAskedFor() {
+        void withAWrongChecksumIsDroppedAndTheWholeDocumentRequested() {
             becomeReadyWith(3);
 
             List<Effect> effects = receive(
@@ -242,31 +242,31 @@
                     new ConfigurationChange(SERVICE, 3, 4, List.of(new LineEdit(0, 0, List.of("note"))), 12345));
 
             assertEquals(1, counted(effects, ConfigurationCount.BAD_CHANGE));
-            assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 0)), question(effects));
+            assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 0)), requestedDocument(effects));
             assertEquals(Map.of(SERVICE, 3L), distribution.versions());
         }
 
         @Test
-        void fromAnUnknownBaseLeadsToAQuestion() {
+        void fromAnUnknownBaseLeadsToARequest() {
             becomeReadyWith(3);
 
             List<Effect> effects = receive(SECOND, new ConfigurationChange(SERVICE, 5, 6, List.of(), 0));
 
-            assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 3)), question(effects));
+            assertEquals(Optional.of(new ConfigurationWanted(SERVICE, 3)), requestedDocument(effects));
         }
     }
 
     @Nested
     class ThePlatform {
 
-        // Story: a proxy before the platform answers each watch at once with "nothing newer". A reader that starts the
-        // next watch at once would read as fast as the network allows.
+        // Guards against a busy loop of reads: a proxy in front of the platform answers each watch at once without a
+        // newer version. A reader that starts the next watch at once would read as fast as the network allows.
         @Test
         void thatDoesNotHoldWatchesIsReadSlowly() {
             handle(new Event.WakeUp());
             int reads = 0;
             for (int i = 0; i < 60; i++) {
-                List<Effect.ReadConfiguration> started = reads(pass(Duration.ofSeconds(1)));
+                List<Effect.ReadConfiguration> started = reads(advance(Duration.ofSeconds(1)));
                 reads += started.size();
                 started.forEach(read -> handle(new Event.ConfigurationUnchanged(read.service())));
             }
@@ -277,11 +277,11 @@
         @Test
         void thatFailsIsReadAgainWithinSeconds() {
             handle(new Event.WakeUp());
-            pass(Duration.ofSeconds(10));
+            advance(Duration.ofSeconds(10));
             for (int i = 0; i < 10; i++) {
                 handle(new Event.ConfigurationReadFailed(SERVICE, Step.CONFIGURATION, "down"));
 
-                assertEquals(1, reads(pass(Duration.ofSeconds(5))).size());
+                assertEquals(1, reads(advance(Duration.ofSeconds(5))).size());
             }
         }
 
@@ -293,15 +293,15 @@
             assertEquals(Map.of(SERVICE, 3L), distribution.versions());
         }
 
-        // Story: the answer to a watch gets lost inside the node, as when its connection pool is replaced. Without a
-        // bound
-        // the node would wait for ever and, being elected, keep others from watching.
+        // Guards against a watch that never ends: its answer is lost inside the node, as when the connection pool is
+        // replaced. Without a time limit the node would wait forever and, as an elected reader, keep others from
+        // watching.
         @Test
         void whoseAnswerIsLostIsReadAgain() {
             handle(new Event.WakeUp());
 
-            assertEquals(1, reads(pass(Duration.ofSeconds(30))).size());
-            assertEquals(1, reads(pass(Duration.ofSeconds(30))).size());
+            assertEquals(1, reads(advance(Duration.ofSeconds(30))).size());
+            assertEquals(1, reads(advance(Duration.ofSeconds(30))).size());
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/distribution/DistributionPropertyTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/DistributionPropertyTest.java
@@ -21,8 +21,8 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Seven nodes of two services, one calling the other, through random publications, cuts, pauses, restarts and outages of
- * the platform.
+ * Runs seven nodes of two services, one of which calls the other, under random publications, network partitions,
+ * pauses, restarts and outages of the platform.
  */
 class DistributionPropertyTest {
 
@@ -30,7 +30,7 @@
     private static final ServiceName DEEP = new ServiceName("manifests");
     private static final Duration LIMIT = Duration.ofSeconds(5);
 
-    /** A connection as young as this may not have carried its first heartbeat. */
+    /** A connection younger than this may not have carried its first heartbeat. */
     private static final long SETTLED_LINK_NANOS = 200 * VirtualFleet.MILLISECOND;
 
     enum Kind {
@@ -68,7 +68,7 @@
         VirtualFleet fleet = new VirtualFleet(seed);
         fleet.add(DEEP, List.of(), 3);
         fleet.add(ENTRY, List.of(DEEP.value()), 4);
-        fleet.slowestMessage(30);
+        fleet.maxMessageDelay(30);
         fleet.checkAfterEachEvent(new VersionsNeverFall(fleet)::check);
         fleet.startAll();
 
@@ -76,11 +76,11 @@
             perform(fleet, action);
             fleet.runFor(Duration.ofMillis(action.waitMillis));
         }
-        fleet.cut(Set.of());
+        fleet.setPartition(Set.of());
         fleet.platform.mode(VirtualPlatform.Mode.UP);
         fleet.names().forEach(name -> fleet.pause(name, Duration.ZERO));
         fleet.startAll();
-        List.of(DEEP, ENTRY).forEach(service -> correctWhatNobodyHolds(fleet, service));
+        List.of(DEEP, ENTRY).forEach(service -> publishIfLost(fleet, service));
         fleet.runFor(LIMIT);
 
         fleet.running.values().forEach(node -> assertNewestInForce(fleet, node));
@@ -108,27 +108,27 @@
                     fleet.after(Duration.ofMillis(action.waitMillis), () -> fleet.start(name));
                 };
             case PAUSE -> () -> fleet.pause(name, Duration.ofMillis(2L * action.waitMillis));
-            case CUT -> () -> fleet.cut(new HashSet<>(fleet.names().subList(0, action.node)));
-            case JOIN -> () -> fleet.cut(Set.of());
+            case CUT -> () -> fleet.setPartition(new HashSet<>(fleet.names().subList(0, action.node)));
+            case JOIN -> () -> fleet.setPartition(Set.of());
             case BREAK_CONNECTIONS -> () -> fleet.breakLinks(name);
         };
         step.run();
     }
 
     /**
-     * The platform gives the newest value only: while that is invalid, a last good one that no node of a service remembers
-     * is lost to this service until operators publish again.
+     * The platform returns only the newest value. While that is invalid, the last valid one is lost to a service of
+     * which no node has it, until operators publish again.
      */
-    private static void correctWhatNobodyHolds(VirtualFleet fleet, ServiceName document) {
+    private static void publishIfLost(VirtualFleet fleet, ServiceName document) {
         boolean lost = Stream.of(DEEP, ENTRY)
                 .filter(service -> service.equals(document) || service.equals(ENTRY))
-                .anyMatch(service -> nobodyHolds(fleet, service, document));
+                .anyMatch(service -> noNodeHas(fleet, service, document));
         if (lost && !fleet.platform.newestIsValid(document)) {
             publish(fleet, document, "note corrected", 1);
         }
     }
 
-    private static boolean nobodyHolds(VirtualFleet fleet, ServiceName service, ServiceName document) {
+    private static boolean noNodeHas(VirtualFleet fleet, ServiceName service, ServiceName document) {
         return fleet.running.values().stream()
                 .filter(node -> node.service.equals(service))
                 .flatMap(node -> node.distribution.newest(document).stream())
@@ -148,7 +148,7 @@
         assertEquals(expected, node.distribution.versions(), () -> "in force at " + node.name);
     }
 
-    /** Versions never fall, also not over a restart while a peer that holds the version is connected. */
+    /** Checks that versions never fall, not even after a restart while a peer that has the version is connected. */
     private record VersionsNeverFall(
             VirtualFleet fleet, Map<NodeName, Map<ServiceName, Long>> highest, Map<NodeName, Long> incarnations) {
 
@@ -162,7 +162,7 @@
             boolean sameProcess = incarnations.getOrDefault(node.name, -1L) == node.incarnation;
             present.forEach((service, version) -> {
                 long floor = before.getOrDefault(service, 0L);
-                if (sameProcess || someConnectedPeerHolds(node, service, floor)) {
+                if (sameProcess || connectedPeerHas(node, service, floor)) {
                     assertTrue(
                             version >= floor,
                             () -> node.name + " fell from " + floor + " to " + version + " of " + service);
@@ -174,7 +174,7 @@
             }
         }
 
-        private boolean someConnectedPeerHolds(VirtualNode node, ServiceName service, long version) {
+        private boolean connectedPeerHas(VirtualNode node, ServiceName service, long version) {
             return fleet.running.values().stream()
                     .filter(peer -> peer.service.equals(node.service) && !fleet.isPaused(peer.name))
                     .filter(peer -> peer.distribution
@@ -183,7 +183,7 @@
                             .isPresent())
                     .anyMatch(peer -> fleet.linkedForNanos(node.name, peer.name) > SETTLED_LINK_NANOS
                             || fleet.linkedForNanos(node.name, peer.name) >= 0
-                                    && node.wasTold(peer.name, service, version));
+                                    && node.hasReported(peer.name, service, version));
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/distribution/VirtualNode.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/VirtualNode.java
@@ -20,7 +20,7 @@
 import org.carawaysill.policy.routing.RoutingSettings;
 import org.carawaysill.policy.time.Moment;
 
-/** One process: distribution, membership and the choice of copies, joined as the engine joins them. */
+/** One process: distribution, membership and the choice of copies, combined in the same way as in the engine. */
 final class VirtualNode implements HeartbeatContent {
 
     private static final LoadReport IDLE = new LoadReport(0, 1, 0, 0);
@@ -31,7 +31,7 @@
     final ConfigurationDistribution distribution;
     final Membership membership;
     private final CopySelector selector;
-    private final Map<NodeName, Map<ServiceName, Long>> told = new HashMap<>();
+    private final Map<NodeName, Map<ServiceName, Long>> reportedVersions = new HashMap<>();
     private long revision;
 
     VirtualNode(NodeName name, ServiceName service, long incarnation, SplittableRandom random) {
@@ -47,7 +47,7 @@
     List<Effect> handle(Moment now, Event event) {
         if (event instanceof Event.PeerReceived received
                 && received.message() instanceof PeerMessage.Heartbeat heartbeat) {
-            told.put(received.from(), heartbeat.versions());
+            reportedVersions.put(received.from(), heartbeat.versions());
         }
         List<Effect> effects = new ArrayList<>(membership.handle(now, event, this));
         effects.addAll(distribution.handle(now, event));
@@ -69,9 +69,9 @@
         return newest;
     }
 
-    /** Whether a node has told this process, in its last heartbeat, of a version at least as high. */
-    boolean wasTold(NodeName peer, ServiceName document, long version) {
-        return told.getOrDefault(peer, Map.of()).getOrDefault(document, 0L) >= version;
+    /** Returns whether a node reported this version or a higher one to this process in its last heartbeat. */
+    boolean hasReported(NodeName peer, ServiceName document, long version) {
+        return reportedVersions.getOrDefault(peer, Map.of()).getOrDefault(document, 0L) >= version;
     }
 
     long nextWakeNanos() {
--- a/policy/src/test/java/org/carawaysill/policy/routing/VirtualCopies.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/VirtualCopies.java
@@ -19,7 +19,7 @@
 import org.carawaysill.model.request.RequestTerms;
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
-/** Copies with slots and a queue, called over zones in virtual time. */
+/** Simulates copies with slots and a queue, called from several zones in virtual time. */
 final class VirtualCopies {
 
     private static final int COPIES = 12;
@@ -31,7 +31,7 @@
     private static final long HEARTBEAT_NANOS = 3_000_000_000L;
     private static final long WARM_NANOS = 5_000_000_000L;
 
-    /** What differs from even load on equal copies. */
+    /** The deviation from even load on equal copies. */
     enum Trouble {
         NONE,
         MOST_CALLERS_IN_ONE_ZONE,
@@ -39,7 +39,7 @@
         ONE_COPY_COLD
     }
 
-    /** What callers saw. */
+    /** The latencies as seen by callers, and the share of requests to other zones. */
     record Result(double meanMillis, double p99Millis, double otherZone) {}
 
     private record Request(int caller, long sentNanos) {}
@@ -84,7 +84,7 @@
         return COPIES;
     }
 
-    /** A cold copy joins after a second. */
+    /** Returns whether a copy is usable; a cold copy becomes usable after one second. */
     boolean isUsable(int copy, long time) {
         return trouble != Trouble.ONE_COPY_COLD || copy != 0 || time > 1_000_000_000L;
     }
@@ -134,12 +134,12 @@
         int copy = balancers.get(caller).choose(now);
         balancers.get(caller).sent(now, copy);
         otherZone += zone(caller).equals(zone(copy)) ? 0 : 1;
-        at(now + way(caller, copy), () -> enter(copy, request));
+        at(now + networkDelayNanos(caller, copy), () -> enter(copy, request));
     }
 
     private void sendHeartbeat(int copy, Balancer to, long end) {
-        LoadReport told = load(copy);
-        at(now + FAR_NANOS, () -> to.heard(now, copy, told));
+        LoadReport reported = load(copy);
+        at(now + FAR_NANOS, () -> to.heard(now, copy, reported));
         if (now < end) {
             at(now + HEARTBEAT_NANOS, () -> sendHeartbeat(copy, to, end));
         }
@@ -149,7 +149,7 @@
         return new LoadReport(running[copy], SLOTS, waiting.get(copy).size(), 0);
     }
 
-    private static long way(int caller, int copy) {
+    private static long networkDelayNanos(int caller, int copy) {
         return zone(caller).equals(zone(copy)) ? NEAR_NANOS : FAR_NANOS;
     }
 
@@ -177,11 +177,11 @@
 
     private void finish(int copy, Request request) {
         running[copy]--;
-        LoadReport told = load(copy);
-        at(now + way(request.caller, copy), () -> {
+        LoadReport reported = load(copy);
+        at(now + networkDelayNanos(request.caller, copy), () -> {
             long latency = now - request.sentNanos;
             latencies.add(latency);
-            balancers.get(request.caller).answered(now, copy, told, latency);
+            balancers.get(request.caller).answered(now, copy, reported, latency);
         });
         if (!waiting.get(copy).isEmpty()) {
             start(copy, waiting.get(copy).poll());
