--- a/protocol/src/main/java/org/carawaysill/protocol/codec/BodyCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/BodyCodec.java
@@ -6,11 +6,11 @@
 import org.carawaysill.protocol.generated.BodyFrame;
 
 /**
- * Translates bodies, with their length and their checksum as end mark.
+ * Encodes and decodes bodies, each with its length and checksum.
  *
- * <p>The guard is against an answer that ends early and is taken for a short but whole one: the caller would see a
- * truncated bill. Length and checksum are stated when the body is known to be whole, and are compared where it arrives,
- * so that whatever cuts or alters it on the way shows as a fault. Stateless and thread safe.
+ * <p>This guards against an answer that ends early and is mistaken for a short but complete one: the caller would see a
+ * truncated bill. The sender writes the length and checksum once the body is complete, and the receiver compares them,
+ * so that any truncation or alteration on the way is detected. Stateless and thread safe.
  */
 final class BodyCodec {
 
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/Codes.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/Codes.java
@@ -17,10 +17,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Translates the model's enumerations.
+ * Maps the model's enums to protobuf codes and back.
  *
- * <p>Invariant: each constant has its own code. The switches have no default branch, so a constant without a code does
- * not compile; the way back is their inverse. Stateless and thread safe.
+ * <p>Invariant: each constant has its own code. The switches have no default branch, so that a constant without a code
+ * is a compile error; decoding uses the inverse maps. Stateless and thread safe.
  */
 final class Codes {
 
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/ConfigurationCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/ConfigurationCodec.java
@@ -12,7 +12,7 @@
 import org.carawaysill.protocol.generated.ConfigurationWantedFrame;
 import org.carawaysill.protocol.generated.LineEditFrame;
 
-/** Translates the relaying of configuration. Stateless and thread safe. */
+/** Encodes and decodes the messages that relay configuration between nodes. Stateless and thread safe. */
 final class ConfigurationCodec {
 
     private ConfigurationCodec() {}
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/ContentCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/ContentCodec.java
@@ -10,7 +10,7 @@
 import org.carawaysill.protocol.generated.HeaderField;
 import org.carawaysill.protocol.generated.RequestContentFrame;
 
-/** Translates HTTP requests and answers. Stateless and thread safe. */
+/** Encodes and decodes the content of HTTP requests and answers. Stateless and thread safe. */
 final class ContentCodec {
 
     private static final int LEAST_STATUS = 100;
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/EntryCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/EntryCodec.java
@@ -14,7 +14,7 @@
 import org.carawaysill.protocol.generated.EntryStage;
 import org.carawaysill.protocol.generated.PublishedEntryFrame;
 
-/** Translates published entries, and what is asked of them. Stateless and thread safe. */
+/** Encodes and decodes published entries and requests for them. Stateless and thread safe. */
 final class EntryCodec {
 
     private EntryCodec() {}
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/Fields.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/Fields.java
@@ -12,13 +12,13 @@
 import org.carawaysill.model.request.Priority;
 import org.carawaysill.protocol.generated.Identifier;
 
-/** Checks of single fields, shared by the codecs. Stateless and thread safe. */
+/** Checks and conversions of single fields, shared by the codecs. Stateless and thread safe. */
 final class Fields {
 
-    /** The longest duration that travels; a longer one is shortened to it before it is sent. */
+    /** The longest duration that is sent; longer ones are clamped to it before sending. */
     static final Duration LONGEST_DURATION = Duration.ofDays(30);
 
-    /** The greatest admission cut: one above the greatest priority, when nothing is admitted. */
+    /** The greatest admission cut: one above the greatest priority, so that nothing is admitted. */
     static final int GREATEST_CUT = Priority.MAXIMUM + 1;
 
     private static final char SPACE = ' ';
@@ -77,7 +77,7 @@
         return value;
     }
 
-    /** Reads a duration; the bound keeps the sum with any monotonic time from overflowing. */
+    /** Checks a duration; the bound ensures that its sum with any monotonic time does not overflow. */
     static long durationNanos(long value, String field) throws ProtocolFault {
         if (value < 0 || value > LONGEST_DURATION.toNanos()) {
             throw new ProtocolFault(ProtocolFault.Kind.OUT_OF_RANGE, field);
@@ -85,12 +85,12 @@
         return value;
     }
 
-    /** Fits a duration to what {@link #durationNanos} accepts: a deadline that has passed travels as 0. */
+    /** Clamps a duration to the range that {@link #durationNanos} accepts: a deadline that has passed is sent as 0. */
     static long fittingNanos(long nanos) {
         return Math.clamp(nanos, 0, LONGEST_DURATION.toNanos());
     }
 
-    /** Fits a duration of any length to what {@link #durationNanos} accepts. */
+    /** Clamps a duration of any length to the range that {@link #durationNanos} accepts. */
     static long fittingNanos(Duration duration) {
         if (duration.compareTo(LONGEST_DURATION) > 0) {
             return LONGEST_DURATION.toNanos();
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Reads a method, path or header name, which hold no white space and no control characters: one with a line end
-     * would let its sender forge HTTP headers or a whole request at the copy.
+     * Checks a method, path or header name, which must not contain white space or control characters: a line break
+     * would let the sender inject HTTP headers or a whole request at the copy.
      */
     static String word(String text, String field) throws ProtocolFault {
         present(!text.isEmpty(), field);
@@ -112,7 +112,7 @@
         return text;
     }
 
-    /** Reads a header's value, which holds no line end, for the same reason as {@link #word}. */
+    /** Checks a header's value, which must not contain a line break, for the same reason as {@link #word}. */
     static String line(String text, String field) throws ProtocolFault {
         for (int i = 0; i < text.length(); i++) {
             char character = text.charAt(i);
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/FleetCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/FleetCodec.java
@@ -19,7 +19,7 @@
 import org.carawaysill.protocol.generated.RouteDemandFrame;
 import org.carawaysill.protocol.generated.SlotTimeFrame;
 
-/** Translates what nodes of one fleet with common routes tell each other. Stateless and thread safe. */
+/** Encodes and decodes the messages between the nodes of a fleet that shares its routes. Stateless and thread safe. */
 final class FleetCodec {
 
     private FleetCodec() {}
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/HandoverCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/HandoverCodec.java
@@ -9,7 +9,7 @@
 import org.carawaysill.protocol.generated.HolderEntryFrame;
 import org.carawaysill.protocol.generated.HolderHandoverFrame;
 
-/** Translates what a leaving holder hands over. Stateless and thread safe. */
+/** Encodes and decodes the entries that a leaving holder hands over. Stateless and thread safe. */
 final class HandoverCodec {
 
     private HandoverCodec() {}
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/HeartbeatCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/HeartbeatCodec.java
@@ -6,7 +6,7 @@
 import org.carawaysill.policy.message.PeerMessage.Heartbeat;
 import org.carawaysill.protocol.generated.HeartbeatFrame;
 
-/** Translates heartbeats. Stateless and thread safe. */
+/** Encodes and decodes heartbeats. Stateless and thread safe. */
 final class HeartbeatCodec {
 
     private HeartbeatCodec() {}
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/LeaseCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/LeaseCodec.java
@@ -12,7 +12,7 @@
 import org.carawaysill.protocol.generated.RosterMemberFrame;
 import org.carawaysill.protocol.generated.RosterViewFrame;
 
-/** Translates requests for leases and their replies. Stateless and thread safe. */
+/** Encodes and decodes lease requests and their replies. Stateless and thread safe. */
 final class LeaseCodec {
 
     private static final int MAXIMUM_PORT = 65_535;
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/LoadCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/LoadCodec.java
@@ -7,7 +7,7 @@
 import org.carawaysill.protocol.generated.LoadReportFrame;
 import org.carawaysill.protocol.generated.ServiceCutFrame;
 
-/** Translates load reports and admission cuts. Stateless and thread safe. */
+/** Encodes and decodes load reports and admission cuts. Stateless and thread safe. */
 final class LoadCodec {
 
     private LoadCodec() {}
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/OutcomeCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/OutcomeCodec.java
@@ -8,7 +8,7 @@
 import org.carawaysill.protocol.generated.OutcomeFrame;
 import org.carawaysill.protocol.generated.UnknownFrame;
 
-/** Translates what a request came to. Stateless and thread safe. */
+/** Encodes and decodes the outcomes of requests. Stateless and thread safe. */
 final class OutcomeCodec {
 
     private OutcomeCodec() {}
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/PeerMessageCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/PeerMessageCodec.java
@@ -27,21 +27,21 @@
 import org.carawaysill.protocol.generated.ReportWantedFrame;
 
 /**
- * Translates the policy's messages to frames and back.
+ * Encodes the policy's messages as frames and decodes them.
  *
- * <p>Invariants: every message can be encoded; decoding gives an equal message, but for durations, which are fitted to 0
- * to 30 days, and text that is not well-formed UTF-16; whatever a frame holds, decoding it gives a message or a
- * {@link ProtocolFault} and nothing else. Stateless and thread safe.
+ * <p>Invariants: every message can be encoded; decoding yields an equal message, except that durations are clamped to 0
+ * to 30 days and that text which is not well-formed UTF-16 changes; decoding any frame yields a message or throws a
+ * {@link ProtocolFault}, and nothing else. Stateless and thread safe.
  */
 public final class PeerMessageCodec {
 
     private PeerMessageCodec() {}
 
     /**
-     * Translates a message to a frame.
+     * Encodes a message as a frame.
      *
      * @param message the message
-     * @return the frame, which refers to the bytes of the message's body without a copy
+     * @return the frame, which refers to the bytes of the message's body without copying them
      */
     public static Frame encode(PeerMessage message) {
         Frame.Builder frame = Frame.newBuilder();
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Translates a frame to a message.
+     * Decodes the message in a frame.
      *
      * @param frame the frame
      * @return the message
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/ProtocolFault.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/ProtocolFault.java
@@ -1,9 +1,9 @@
 package org.carawaysill.protocol.codec;
 
 /**
- * What arrived is not a message of this protocol.
+ * Signals input that is not a valid message of this protocol.
  *
- * <p>It has no stack trace, so that a flood of malformed input costs little. Immutable and thread safe.
+ * <p>It has no stack trace, so that rejecting a flood of malformed input stays cheap. Immutable and thread safe.
  */
 public final class ProtocolFault extends Exception {
 
@@ -13,19 +13,19 @@
     public enum Kind {
         /** The bytes are not protobuf of the expected type. */
         UNPARSABLE,
-        /** The frame holds no message, or one that has no place here. */
+        /** The frame holds no message, or one that is not expected at this point. */
         UNEXPECTED_FRAME,
         /** A required field is absent or blank. */
         MISSING,
         /** A number is outside its range. */
         OUT_OF_RANGE,
-        /** An enumeration's value is not known. */
+        /** An enum value is unknown. */
         UNKNOWN_CODE,
-        /** A text holds characters that it must not. */
+        /** A text contains characters that are not allowed in it. */
         BAD_TEXT,
-        /** A body is longer or shorter than it states. */
+        /** A body's length differs from the length stated with it. */
         WRONG_LENGTH,
-        /** A body's checksum does not fit its content. */
+        /** A body's checksum does not match its content. */
         WRONG_CHECKSUM
     }
 
@@ -33,10 +33,10 @@
     private final String field;
 
     /**
-     * States a fault.
+     * Creates a fault.
      *
      * @param kind what is wrong
-     * @param field the field at which it is wrong
+     * @param field the name of the invalid field
      */
     public ProtocolFault(Kind kind, String field) {
         super(kind + " at " + field, null, false, false);
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Tells what is wrong.
+     * Returns what is wrong.
      *
      * @return the kind
      */
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Tells where it is wrong.
+     * Returns the name of the invalid field.
      *
      * @return the field's name
      */
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/RequestCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/RequestCodec.java
@@ -10,7 +10,7 @@
 import org.carawaysill.protocol.generated.PeerAnswerFrame;
 import org.carawaysill.protocol.generated.PeerRequestFrame;
 
-/** Translates requests, their answers and their cancellation. Stateless and thread safe. */
+/** Encodes and decodes requests, their answers and their cancellation. Stateless and thread safe. */
 final class RequestCodec {
 
     private RequestCodec() {}
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/SummaryCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/SummaryCodec.java
@@ -24,10 +24,10 @@
 import org.carawaysill.protocol.generated.StateSummaryFrame;
 
 /**
- * Translates summaries of the state of many nodes.
+ * Encodes and decodes summaries of the state of many nodes.
  *
- * <p>The names of services, which come again with each node and cost, travel once: a node takes about 27 bytes. Stateless and
- * thread safe.
+ * <p>Service names, which recur with each node and cost, are sent once and referred to by index, so a node takes about
+ * 27 bytes. Stateless and thread safe.
  */
 final class SummaryCodec {
 
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/SuspicionCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/SuspicionCodec.java
@@ -9,7 +9,7 @@
 import org.carawaysill.protocol.generated.SuspicionFrame;
 import org.carawaysill.protocol.generated.SuspicionsFrame;
 
-/** Translates what is known of requests under which copies crashed. Stateless and thread safe. */
+/** Encodes and decodes suspicions: requests that may have crashed copies. Stateless and thread safe. */
 final class SuspicionCodec {
 
     private SuspicionCodec() {}
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/package-info.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/package-info.java
@@ -1,4 +1,4 @@
-/** Translation between the policy's messages and protobuf, safe against malformed input. */
+/** Codecs between the policy's messages and protobuf; malformed input is rejected. */
 @NullMarked
 package org.carawaysill.protocol.codec;
 
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Acceptor.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/Acceptor.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Listens for the connections that other nodes dial. Confined to the event loop thread, but for {@link #bind}. */
+/** Accepts connections from other nodes. Confined to the event loop thread, except for {@link #bind}. */
 final class Acceptor {
 
     private final ServerBootstrap bootstrap;
--- a/protocol/src/main/java/org/carawaysill/protocol/link/ConnectionHandler.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/ConnectionHandler.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import org.carawaysill.protocol.codec.ProtocolFault;
 
-/** Turns a channel's events into a connection's. Confined to the event loop thread. */
+/** Forwards a channel's events to its {@link PeerConnection}. Confined to the event loop thread. */
 final class ConnectionHandler extends ChannelInboundHandlerAdapter {
 
     private final PeerConnection connection;
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Dialler.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/Dialler.java
@@ -16,11 +16,11 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * Dials the peers to which a connection is wanted, while there is none.
+ * Dials the peers to which a connection is requested, while there is none.
  *
- * <p>Invariant: at most one dial or one timer to dial per peer at a time. Delays double with each failure in a row, up to
- * a limit, and are drawn from the upper half of that, so that the peers of a node that comes back don't dial it all at
- * once. Confined to the event loop thread.
+ * <p>Invariant: at most one dial or one redial timer per peer at a time. The delay doubles with each consecutive
+ * failure, up to a limit, and is drawn at random from its upper half, so that the peers of a restarted node don't all
+ * dial it at once. Confined to the event loop thread.
  */
 final class Dialler {
 
@@ -65,7 +65,7 @@
         targets.clear();
     }
 
-    /** Dials a wanted peer again, after a delay. */
+    /** Dials a peer again after a delay, if a connection to it is still requested. */
     void lost(NodeName peer) {
         Target target = targets.get(peer);
         if (target != null) {
@@ -93,7 +93,7 @@
         target.busy = true;
         ChannelFuture dialling =
                 bootstrap.clone().handler(initializer(target.peer)).connect(target.address);
-        // Run on the event loop, since the failure to make a socket at all is reported on another thread.
+        // Runs on the event loop, since a failure to create the socket is reported on another thread.
         dialling.addListener(_ -> eventLoop.execute(() -> dialled(target, dialling)));
     }
 
@@ -130,7 +130,7 @@
         return targets.get(target.peer) == target;
     }
 
-    /** Draws the next delay; a peer that was connected for long counts as new. */
+    /** Draws the next delay; the failure count restarts for a peer that was connected for a long time. */
     private long nextDelayNanos(Target target) {
         long now = System.nanoTime();
         long longest = table.limits().longestRedial().toNanos();
--- a/protocol/src/main/java/org/carawaysill/protocol/link/FrameBytes.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/FrameBytes.java
@@ -12,16 +12,16 @@
 import org.carawaysill.protocol.generated.Frame;
 
 /**
- * Writes frames into buffers and reads them from there: a length of 4 bytes, then the frame. Stateless and thread safe.
+ * Writes frames to buffers and reads them: a length of 4 bytes, then the frame. Stateless and thread safe.
  */
 final class FrameBytes {
 
-    /** The size of the length before each frame. */
+    /** The size of the length field before each frame. */
     static final int LENGTH_BYTES = Integer.BYTES;
 
     private FrameBytes() {}
 
-    /** Makes a decoder that gives each arriving frame without its length. */
+    /** Creates a decoder that emits each incoming frame without its length field. */
     static LengthFieldBasedFrameDecoder decoder(int maximumFrameBytes) {
         return new LengthFieldBasedFrameDecoder(maximumFrameBytes + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
     }
@@ -35,7 +35,7 @@
             frame.writeTo(output);
             output.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("the buffer has the size that the frame stated", e);
+            throw new UncheckedIOException("the serialized frame does not fit its computed size", e);
         }
         return buffer.writerIndex(LENGTH_BYTES + size);
     }
@@ -47,7 +47,7 @@
         } catch (InvalidProtocolBufferException e) {
             throw new ProtocolFault(ProtocolFault.Kind.UNPARSABLE, "frame");
         } catch (IOException e) {
-            throw new UncheckedIOException("reading from memory", e);
+            throw new UncheckedIOException("reading a frame from memory failed", e);
         }
     }
 }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Greeting.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/Greeting.java
@@ -6,10 +6,10 @@
 import org.carawaysill.protocol.generated.Frame;
 import org.carawaysill.protocol.generated.Hello;
 
-/** Checks the frame with which the other side begins a connection. Stateless and thread safe. */
+/** Checks the first frame that the other side sends on a connection. Stateless and thread safe. */
 final class Greeting {
 
-    /** The largest frame that is read before the other side has greeted. */
+    /** The largest frame that is accepted before the hello of the other side. */
     static final int MAXIMUM_BYTES = 4096;
 
     static final long MAGIC = 0x6361_7261_7761_7953L;
@@ -17,10 +17,10 @@
 
     private Greeting() {}
 
-    /** What the first frame of the other side amounts to. */
+    /** The result of checking the first frame of the other side. */
     sealed interface Result {
 
-        /** A greeting of this protocol, from a node that may be talked to. */
+        /** A valid hello from a node to which a connection is allowed. */
         record Greeted(LinkIdentity peer, long connection) implements Result {}
 
         /** Anything else. */
@@ -34,13 +34,13 @@
         }
         Hello hello = frame.getHello();
         if (frame.getKindCase() != Frame.KindCase.HELLO || hello.getMagic() != MAGIC) {
-            return new Result.Faulty(LinkFaultKind.WRONG_MAGIC, "the first frame is no greeting");
+            return new Result.Faulty(LinkFaultKind.WRONG_MAGIC, "the first frame is not a hello");
         }
         if (hello.getVersion() != VERSION) {
             return new Result.Faulty(LinkFaultKind.WRONG_VERSION, "version " + hello.getVersion());
         }
         if (hello.getNode().isBlank() || hello.getService().isBlank() || hello.getIncarnation() < 0) {
-            return new Result.Faulty(LinkFaultKind.MALFORMED, "incomplete greeting");
+            return new Result.Faulty(LinkFaultKind.MALFORMED, "incomplete hello");
         }
         return checkName(hello, self, expected);
     }
@@ -48,10 +48,10 @@
     private static Result checkName(Hello hello, LinkIdentity self, Optional<NodeName> expected) {
         NodeName name = new NodeName(hello.getNode());
         if (name.equals(self.name())) {
-            return new Result.Faulty(LinkFaultKind.OWN_NAME, "greeted with this node's name");
+            return new Result.Faulty(LinkFaultKind.OWN_NAME, "the peer has this node's name");
         }
         if (expected.isPresent() && !expected.get().equals(name)) {
-            return new Result.Faulty(LinkFaultKind.WRONG_PEER, "greeted as " + name);
+            return new Result.Faulty(LinkFaultKind.WRONG_PEER, "the peer is named " + name);
         }
         LinkIdentity peer = new LinkIdentity(name, new ServiceName(hello.getService()), hello.getIncarnation());
         return new Result.Greeted(peer, hello.getConnection());
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Handshake.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/Handshake.java
@@ -6,11 +6,11 @@
 import org.carawaysill.protocol.generated.Frame;
 
 /**
- * The greeting on one connection, up to the point at which it carries messages.
+ * The handshake on one connection, until it may carry messages.
  *
- * <p>The dialler greets first and the other side replies. Then the node with the lesser name chooses whether this is the
- * connection that carries their messages, and says so. Invariant: of two nodes only one chooses, so that they never use
- * different connections. Confined to the event loop thread.
+ * <p>The dialling side sends its hello first and the other side replies. Then the node with the lesser name decides
+ * whether this connection carries their messages, and sends an acceptance. Invariant: of two nodes, only one decides,
+ * so that they never use different connections. Confined to the event loop thread.
  */
 final class Handshake {
 
@@ -25,7 +25,7 @@
         this.dialled = dialled;
     }
 
-    /** Gives the peer, which is known once it has greeted. */
+    /** Returns the peer, which is known once its hello has been received. */
     Optional<LinkIdentity> peer() {
         return peer;
     }
@@ -49,7 +49,7 @@
             case Greeting.Result.Faulty faulty -> refuse(faulty.kind(), faulty.detail());
             case Greeting.Result.Greeted greeted
             when table.isBlocked(greeted.peer().name()) ->
-                // Dropped like all traffic of a blocked peer: the greeting runs into its limit.
+                // Dropped like all traffic of a blocked peer; the handshake then times out.
                 table.counters().blocked();
             case Greeting.Result.Greeted greeted -> greetBack(greeted);
         }
@@ -68,7 +68,7 @@
             connection.open(greeted.peer());
         }
         connection.flush();
-        // Comes last, since the bytes already received go through the new decoder at once.
+        // Must come last, since bytes already received pass through the new decoder immediately.
         connection.admitLargeFrames();
     }
 
--- a/protocol/src/main/java/org/carawaysill/protocol/link/LinkCounters.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/LinkCounters.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * What a link has counted since its start.
+ * The counters of a link since its start.
  *
- * <p>Invariant: no count falls. Thread safe: the event loop counts, any thread reads.
+ * <p>Invariant: no count decreases. Thread safe: the event loop updates the counters, any thread reads them.
  */
 public final class LinkCounters {
 
@@ -21,7 +21,7 @@
     LinkCounters() {}
 
     /**
-     * Tells how often a fault arose.
+     * Returns how often a kind of fault occurred.
      *
      * @param kind the kind of fault
      * @return the count
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Tells how many frames were given to be written.
+     * Returns how many frames were submitted for writing.
      *
      * @param kind the kind of traffic
      * @return the count
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Tells how many bytes were given to be written, with the length before each frame.
+     * Returns how many bytes were submitted for writing, including the length field of each frame.
      *
      * @param kind the kind of traffic
      * @return the count
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Tells how many frames arrived.
+     * Returns how many frames were received.
      *
      * @param kind the kind of traffic
      * @return the count
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Tells how many bytes arrived, with the length before each frame.
+     * Returns how many bytes were received, including the length field of each frame.
      *
      * @param kind the kind of traffic
      * @return the count
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Tells how many frames were dropped, either way, because their peer is blocked.
+     * Returns how many frames were dropped, in either direction, because their peer is blocked.
      *
      * @return the count
      */
--- a/protocol/src/main/java/org/carawaysill/protocol/link/LinkFaultKind.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/LinkFaultKind.java
@@ -4,35 +4,35 @@
 import io.netty.handler.codec.TooLongFrameException;
 import org.carawaysill.model.request.Step;
 
-/** What can go wrong with a connection between nodes; each kind has its own counter. Immutable and thread safe. */
+/** The kinds of faults of connections between nodes; each has its own counter. Immutable and thread safe. */
 public enum LinkFaultKind {
-    /** Nothing answered at the address, or the dial took too long. */
+    /** No process accepted the connection at the address, or connecting took too long. */
     UNREACHABLE(Step.MEMBERSHIP),
-    /** The other side did not finish the greeting in time. */
+    /** The other side did not finish the handshake in time. */
     NO_HELLO(Step.MEMBERSHIP),
-    /** The first frame was not a greeting of this protocol. */
+    /** The first frame was not a hello of this protocol. */
     WRONG_MAGIC(Step.MEMBERSHIP),
-    /** The other side speaks another version of this protocol. */
+    /** The other side uses another version of this protocol. */
     WRONG_VERSION(Step.MEMBERSHIP),
-    /** The node that greeted is not the one that was dialled. */
+    /** The node that answered is not the one that was dialled. */
     WRONG_PEER(Step.MEMBERSHIP),
-    /** The other side greeted with this node's own name. */
+    /** The other side has this node's own name. */
     OWN_NAME(Step.MEMBERSHIP),
-    /** An older process of the name greeted while a newer one is connected. */
+    /** An older process of the same name connected while a newer one is connected. */
     OLDER_INCARNATION(Step.MEMBERSHIP),
     /** A second connection of the same process, or of a second process with its name and start time. */
     DUPLICATE(Step.MEMBERSHIP),
-    /** A newer process of the name took the place of a connected older one. */
+    /** A newer process of the same name replaced a connected older one. */
     REPLACED(Step.MEMBERSHIP),
-    /** The other side refused the greeting; the detail gives its reason. */
+    /** The other side refused the connection; the detail gives its reason. */
     REFUSED_BY_PEER(Step.MEMBERSHIP),
-    /** The peer did not answer a probe while a second connection asked for its place. */
+    /** The peer did not reply to a probe, sent because a second connection claimed its name. */
     UNRESPONSIVE(Step.MEMBERSHIP),
-    /** An arriving frame, or a message to be sent, is larger than the limit. */
+    /** An incoming frame or a message to send exceeds the size limit. */
     OVERSIZE(Step.PEER_WAIT),
     /** A frame could not be decoded. */
     MALFORMED(Step.PEER_WAIT),
-    /** The peer did not read what was sent to it in time. */
+    /** The peer did not read the data sent to it in time. */
     SLOW_READER(Step.PEER_SEND),
     /** Reading from the connection or writing to it failed. */
     BROKEN(Step.PEER_WAIT);
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Tells where such a fault arises.
+     * Returns the step at which this kind of fault arises.
      *
      * @return the step
      */
--- a/protocol/src/main/java/org/carawaysill/protocol/link/LinkFrames.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/LinkFrames.java
@@ -7,7 +7,9 @@
 import org.carawaysill.protocol.generated.ProbeReply;
 import org.carawaysill.protocol.generated.Refused;
 
-/** Makes the frames that links exchange on their own behalf. Stateless and thread safe. */
+/**
+ * Creates the frames that links themselves exchange: hello, acceptance, refusal and probes. Stateless and thread safe.
+ */
 final class LinkFrames {
 
     static final Frame ACCEPTED =
--- a/protocol/src/main/java/org/carawaysill/protocol/link/LinkIdentity.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/LinkIdentity.java
@@ -4,7 +4,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Who a node is, as it says in its greeting.
+ * The identity of a node, as it states in its handshake.
  *
  * <p>Immutable and thread safe.
  *
@@ -14,7 +14,7 @@
  */
 record LinkIdentity(NodeName name, ServiceName service, long incarnation) {
 
-    /** Tells whether this node, of the two, chooses which of several connections carries their messages. */
+    /** Returns whether this node, of the two, selects which of several connections carries their messages. */
     boolean choosesAgainst(LinkIdentity other) {
         return name.compareTo(other.name) < 0;
     }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/LinkLimits.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/LinkLimits.java
@@ -3,22 +3,24 @@
 import java.time.Duration;
 
 /**
- * The limits that a {@link PeerLink} keeps.
+ * The limits that a {@link PeerLink} enforces.
  *
  * <p>Invariant: all positive, and the shortest delay before a new dial is not above the longest. Immutable and thread
  * safe.
  *
  * @param maximumFrameBytes the largest frame, either way
- * @param highWaterMarkBytes bytes waiting to be written to one peer above which further messages to it are unsent
- * @param socketBufferBytes the size asked for the operating system's buffers, each way
+ * @param highWaterMarkBytes the number of bytes pending for one peer above which further messages to it are reported as
+ *     unsent
+ * @param socketBufferBytes the requested size of the operating system's socket buffers, for each direction
  * @param ringCapacity messages that may wait for the event loop; a power of two
  * @param connectLimit how long a dial may take
- * @param greetingLimit how long the greeting may take
+ * @param greetingLimit how long the handshake may take
  * @param drainLimit how long a frame may wait to be written before its peer counts as a slow reader
- * @param probeLimit how long a peer whose place another connection asks for may stay silent
+ * @param probeLimit how long a peer may take to reply to a probe, which is sent when a second connection claims its
+ *     name
  * @param closingLimit how long an orderly close may take
  * @param shortestRedial the first delay before dialling again
- * @param longestRedial the delay that further failures lead to
+ * @param longestRedial the upper limit of the delay after repeated failures
  */
 public record LinkLimits(
         int maximumFrameBytes,
@@ -51,7 +53,7 @@
     }
 
     /**
-     * Starts from the default limits.
+     * Creates a builder with the default limits.
      *
      * @return a builder
      */
@@ -60,7 +62,7 @@
     }
 
     /**
-     * Gives the default limits.
+     * Returns the default limits.
      *
      * @return the limits
      */
@@ -74,7 +76,7 @@
         }
     }
 
-    /** Collects limits; what is not set keeps its default. Not thread safe. */
+    /** Builds limits; values that are not set keep their defaults. Not thread safe. */
     public static final class Builder {
 
         private int maximumFrameBytes = 2 * MEBIBYTE;
@@ -103,7 +105,7 @@
         }
 
         /**
-         * Sets how much may wait to be written to one peer.
+         * Sets how many bytes may be pending for one peer.
          *
          * @param bytes the size in bytes
          * @return this builder
@@ -114,7 +116,7 @@
         }
 
         /**
-         * Sets the size of the operating system's buffers.
+         * Sets the requested size of the operating system's socket buffers.
          *
          * @param bytes the size in bytes
          * @return this builder
@@ -147,7 +149,7 @@
         }
 
         /**
-         * Sets how long the greeting may take.
+         * Sets how long the handshake may take.
          *
          * @param limit the limit
          * @return this builder
@@ -169,7 +171,7 @@
         }
 
         /**
-         * Sets how long a probed peer may stay silent.
+         * Sets how long a peer may take to reply to a probe.
          *
          * @param limit the limit
          * @return this builder
@@ -191,10 +193,10 @@
         }
 
         /**
-         * Sets the delays before dialling again.
+         * Sets the bounds of the delay before dialling again.
          *
          * @param shortest the first delay
-         * @param longest the delay that further failures lead to
+         * @param longest the upper limit of the delay after repeated failures
          * @return this builder
          */
         public Builder redial(Duration shortest, Duration longest) {
--- a/protocol/src/main/java/org/carawaysill/protocol/link/OutboundFrames.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/OutboundFrames.java
@@ -11,12 +11,12 @@
 import org.carawaysill.protocol.generated.Frame;
 
 /**
- * The frames of one connection that the operating system has not taken whole.
+ * The frames of one connection that have not been completely written to the operating system.
  *
- * <p>When the connection ends, the node must know of each message whether it may have arrived: only a message of which
- * no byte left this process may be reported as unsent, since a request that is reported so is told to its caller as "not
- * run". Netty reports the progress of each buffer before it drops it, so a frame that is still untouched here was never
- * given to the operating system. Invariant: in the order of writing. Confined to the event loop thread.
+ * <p>When the connection ends, the node must know for each message whether it may have arrived. Only a message of which
+ * no byte left this process may be reported as unsent, since a request reported as unsent is answered to its caller as
+ * "not run". Netty reports the progress of each buffer before it releases it, so a frame without progress was never
+ * passed to the operating system. Invariant: the frames are in the order of writing. Confined to the event loop thread.
  */
 final class OutboundFrames {
 
@@ -34,7 +34,7 @@
         write(frame, frame.getSerializedSize(), Optional.empty());
     }
 
-    /** Writes a message's frame without flushing. */
+    /** Writes the frame of a message without flushing. */
     void write(Frame frame, int size, PeerMessage message) {
         write(frame, size, Optional.of(message));
     }
@@ -48,7 +48,7 @@
         channel.write(FrameBytes.write(channel.alloc(), frame, size), promise);
     }
 
-    /** Tells whether fewer bytes wait than the high-water mark; writes what can be written first if need be. */
+    /** Returns whether fewer bytes are pending than the high-water mark; flushes first if necessary. */
     boolean hasRoom() {
         if (!channel.isWritable()) {
             channel.flush();
@@ -56,14 +56,14 @@
         return channel.isWritable();
     }
 
-    /** Tells how long the oldest frame has waited, 0 if none does. */
+    /** Returns how long the oldest frame has been pending, or 0 if there is none. */
     long oldestWaitNanos(long now) {
         dropWritten();
         Waiting oldest = frames.peek();
         return oldest == null ? 0 : now - oldest.since;
     }
 
-    /** Gives the messages of which no byte was given to the operating system. */
+    /** Returns the messages of which no byte was passed to the operating system. */
     List<PeerMessage> untouched() {
         return frames.stream()
                 .filter(frame -> !frame.touched)
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Outgoing.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/Outgoing.java
@@ -4,11 +4,11 @@
 import org.carawaysill.policy.message.PeerMessage;
 
 /**
- * A message on its way to the event loop.
+ * A message queued for the event loop.
  *
  * <p>Immutable and thread safe.
  *
- * @param peer the node that it is meant for
+ * @param peer the receiving node
  * @param message the message
  */
 record Outgoing(NodeName peer, PeerMessage message) {}
--- a/protocol/src/main/java/org/carawaysill/protocol/link/PeerConnection.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/PeerConnection.java
@@ -14,10 +14,10 @@
 import org.carawaysill.protocol.generated.Frame;
 
 /**
- * One TCP connection to another node, from its greeting to its end.
+ * One TCP connection to another node, from its handshake to its end.
  *
- * <p>Invariants: it carries messages only while open; it ends once, and then for good; a fault ends it and touches no
- * other connection. Confined to the event loop thread.
+ * <p>Invariants: it carries messages only while open; it ends exactly once; a fault ends it and affects no other
+ * connection. Confined to the event loop thread.
  */
 final class PeerConnection {
 
@@ -40,7 +40,7 @@
     private String address = "";
 
     /**
-     * Handles a channel.
+     * Creates a connection on a channel.
      *
      * @param channel the channel
      * @param table the connections of this node
@@ -58,17 +58,17 @@
         closingDeadline = new Deadline(channel.eventLoop(), limits.closingLimit(), () -> end(Optional.empty()));
     }
 
-    /** Sets the channel's handlers up. */
+    /** Installs the channel's handlers. */
     void install() {
         channel.pipeline().addLast(FrameBytes.decoder(Greeting.MAXIMUM_BYTES)).addLast(new ConnectionHandler(this));
     }
 
-    /** Gives the peer, which is known once it has greeted. */
+    /** Returns the peer, which is known once its hello has been received. */
     Optional<LinkIdentity> peer() {
         return handshake.peer();
     }
 
-    /** Tells whether the peer is, or was dialled as, the named one. */
+    /** Returns whether the peer has, or was dialled by, this name. */
     boolean isWith(NodeName name) {
         return name().filter(name::equals).isPresent();
     }
@@ -77,12 +77,13 @@
         return peer().map(LinkIdentity::name).or(() -> dialled);
     }
 
-    /** Starts the greeting. */
+    /** Starts the handshake. */
     void began() {
-        // Kept, since a closed channel no longer knows it.
+        // Stored, since a closed channel no longer has it.
         address = String.valueOf(channel.remoteAddress());
         table.began(this);
-        // Guards against a half-open connection, whose other side never greets: it would hold a socket for ever.
+        // Guards against a half-open connection whose other side never sends a hello: it would occupy a socket for
+        // ever.
         greetingDeadline.start();
         if (!isBlocked()) {
             handshake.begin();
@@ -90,10 +91,10 @@
     }
 
     private void greetingOverdue() {
-        end(LinkFaultKind.NO_HELLO, "no greeting in " + table.limits().greetingLimit());
+        end(LinkFaultKind.NO_HELLO, "no hello within " + table.limits().greetingLimit());
     }
 
-    /** Tells whether a frame that arrives is looked at: not behind the fault that ended the connection. */
+    /** Returns whether incoming frames are handled; frames that follow the end of the connection are not. */
     boolean isReading() {
         return state != State.ENDED;
     }
@@ -119,7 +120,7 @@
         return name().filter(table::isBlocked).isPresent();
     }
 
-    /** Takes the connection into use. */
+    /** Opens the connection for messages. */
     void open(LinkIdentity peer) {
         greetingDeadline.stop();
         state = State.OPEN;
@@ -139,7 +140,7 @@
         switch (frame.getKindCase()) {
             case PROBE -> writeAndFlush(LinkFrames.PROBE_REPLY);
             case PROBE_REPLY -> {
-                // That it arrived is all that it says.
+                // Its arrival has already stopped the probe deadline.
             }
             case REFUSED ->
                 end(LinkFaultKind.REFUSED_BY_PEER, frame.getRefused().getReason());
@@ -150,7 +151,7 @@
     /**
      * Writes a message without flushing.
      *
-     * @return whether it was taken; if not, nothing of it was written
+     * @return whether it was accepted; if not, no byte of it was written
      */
     boolean send(PeerMessage message) {
         Frame frame = table.frameOf(message);
@@ -173,9 +174,9 @@
     /**
      * Ends the connection if its peer does not read.
      *
-     * <p>Guards against a frozen peer, or one on a dead path: its connection stays up, the operating system's buffers
-     * fill, and messages pile up here, to be delivered long after their deadlines. It shows as a frame that waits to be
-     * written; a busy peer that reads lets each frame go soon, however many follow.
+     * <p>Guards against a frozen peer, or one behind a broken network path: its connection stays up, the operating
+     * system's buffers fill, and messages accumulate here, to be delivered long after their deadlines. The sign is a
+     * frame that stays unwritten; with a busy peer that still reads, each frame is written soon, however many follow.
      */
     void checkDraining(long now) {
         long waited = outbound.oldestWaitNanos(now);
@@ -185,10 +186,11 @@
     }
 
     /**
-     * Asks the peer for a sign of life, and ends the connection if none comes.
+     * Sends a probe to the peer, and ends the connection if no reply arrives in time.
      *
-     * <p>Guards against a connection that the other side has lost while this one has not noticed, as after a partition:
-     * every new connection would be refused as a duplicate until the operating system gives up, which takes minutes.
+     * <p>Guards against a connection that the other side has lost while this side has not noticed, for example after a
+     * partition: every new connection would be refused as a duplicate until the operating system gives up the old one,
+     * which takes minutes.
      */
     void probe() {
         if (probeDeadline.isRunning() || state != State.OPEN) {
@@ -203,13 +205,13 @@
     private void probeOverdue() {
         end(
                 LinkFaultKind.UNRESPONSIVE,
-                "no reply to a probe in " + table.limits().probeLimit());
+                "no reply to a probe within " + table.limits().probeLimit());
     }
 
     /**
-     * Closes in order: writes what was sent, then says that no more comes, and goes on reading until the other side
+     * Closes gracefully: flushes what was sent, shuts down the output, and continues to read until the other side
      * closes. Closing with unread input would make the operating system reset the connection, and the other side could
-     * lose what was already written to it.
+     * lose data already written to it.
      */
     void closeInOrder() {
         if (state == State.CLOSING) {
@@ -236,7 +238,8 @@
         greetingDeadline.stop();
         probeDeadline.stop();
         closingDeadline.stop();
-        // Closed before the frames are looked at: from here on no byte can be written behind the report.
+        // Closed before the pending frames are examined, so that no byte can be written after they are reported as
+        // unsent.
         channel.close();
         List<PeerMessage> unsent = outbound.untouched();
         fault.ifPresent(table::fault);
@@ -247,10 +250,13 @@
         return new LinkFault(kind, name(), address + ": " + detail);
     }
 
-    /** Ends with the channel. */
+    /** Ends the connection because its channel was closed. */
     void cutOff() {
         boolean greetingCutOff = dialled.isPresent() && state == State.GREETING;
-        end(greetingCutOff ? Optional.of(fault(LinkFaultKind.BROKEN, "closed during the greeting")) : Optional.empty());
+        end(
+                greetingCutOff
+                        ? Optional.of(fault(LinkFaultKind.BROKEN, "closed during the handshake"))
+                        : Optional.empty());
     }
 
     void write(Frame frame) {
--- a/protocol/src/main/java/org/carawaysill/protocol/link/PeerLink.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/PeerLink.java
@@ -19,11 +19,12 @@
 import org.carawaysill.policy.message.PeerMessage;
 
 /**
- * This node's connections to other nodes, on one event loop thread: its own, or one that it shares with its owner.
+ * Manages this node's connections to other nodes on one event loop thread: its own, or one that it shares with its
+ * owner.
  *
- * <p>Invariants: at most one connection to a peer carries messages at a time, whoever dialled it, so that the messages of
- * one sending thread to a peer arrive in order, and between connected and lost without a gap up to the loss; each message
- * is written or reported as unsent. All methods are thread safe and none but {@link #close} blocks.
+ * <p>Invariants: at most one connection to a peer carries messages at a time, whichever side dialled it, so that the
+ * messages of one sending thread to a peer arrive in order, and between connected and lost without gaps up to the loss;
+ * each message is written or reported as unsent. Thread safe; only {@link #close} blocks.
  */
 public final class PeerLink implements AutoCloseable {
 
@@ -60,7 +61,7 @@
     }
 
     /**
-     * Starts to build a link.
+     * Creates a builder for a link.
      *
      * @return a builder
      */
@@ -80,11 +81,11 @@
     }
 
     /**
-     * Keeps a connection open to a peer: dials it while there is none, at jittered intervals. Whether this node dialled
-     * or the peer did, one connection serves both directions.
+     * Maintains a connection to a peer: dials it at jittered intervals while there is none. One connection serves both
+     * directions, whichever side dialled it.
      *
      * @param peer the other node
-     * @param host its IP number
+     * @param host its IP address
      * @param port its TCP port for nodes
      */
     public void connect(NodeName peer, String host, int port) {
@@ -93,8 +94,8 @@
     }
 
     /**
-     * Stops dialling a peer, and closes the connection to it once what was sent before is written. The peer may dial
-     * again.
+     * Stops dialling a peer, and closes the connection to it once the messages sent before have been written. The peer
+     * may dial again.
      *
      * @param peer the other node
      */
@@ -107,19 +108,21 @@
     }
 
     /**
-     * Gives up the connection to a peer without an orderly close, and dials anew if the peer is wanted.
+     * Drops the connection to a peer without a graceful close, and dials again if {@link #connect} was called for the
+     * peer.
      *
      * @param peer the other node
-     * @param reason why, for the report of the fault
+     * @param reason the reason, for the fault report
      */
     public void reset(NodeName peer, String reason) {
         onEventLoop(() -> table.open(peer).ifPresent(connection -> connection.end(LinkFaultKind.UNRESPONSIVE, reason)));
     }
 
     /**
-     * Sends a message, in the order of the calls of one thread. It is reported as unsent if there is no connection to the
-     * peer, if the ring is full, if too much waits for the peer already, if the message is larger than a frame may be, or
-     * if the connection is lost before any byte of it is given to the operating system.
+     * Sends a message; the messages of one thread are sent in the order of the calls. A message is reported as unsent
+     * if there is no connection to the peer, if the ring is full, if too many bytes are already pending for the peer,
+     * if the message exceeds the frame size limit, or if the connection is lost before any byte of it is passed to the
+     * operating system.
      *
      * @param peer the other node
      * @param message the message
@@ -129,27 +132,28 @@
     }
 
     /**
-     * Drops all traffic of some peers both ways, for tests of partitions: connections to them stay but are silent, and
-     * what is sent to them is neither written nor reported as unsent.
+     * Drops all traffic to and from some peers, for partition tests: connections to them stay open but carry nothing,
+     * and messages sent to them are neither written nor reported as unsent.
      *
-     * @param peers the peers, in place of those given before
+     * @param peers the blocked peers; replaces those set before
      */
     public void block(Set<NodeName> peers) {
         table.block(peers);
     }
 
     /**
-     * Gives what this link has counted.
+     * Returns the counters of this link.
      *
-     * @return the counters, which go on counting
+     * @return the live counters
      */
     public LinkCounters counters() {
         return table.counters();
     }
 
     /**
-     * Writes what was sent, closes all connections and stops the event loop; waits for that, at most the closing limit
-     * and a second. Not to be called by the listener, whose thread it waits for.
+     * Writes the messages sent so far, closes all connections and stops the link's own event loop; waits for that at
+     * most the closing limit plus one second. Must not be called by the listener, since it waits for the listener's
+     * thread.
      */
     @Override
     public void close() {
@@ -177,7 +181,7 @@
         }
     }
 
-    /** Collects what a link needs. Not thread safe. */
+    /** Builds a link. Not thread safe. */
     public static final class Builder {
 
         private Optional<NodeName> self = Optional.empty();
@@ -228,7 +232,7 @@
         /**
          * Sets the address to listen on.
          *
-         * @param address the IP number
+         * @param address the IP address
          * @return this builder
          */
         public Builder host(String address) {
@@ -259,9 +263,10 @@
         }
 
         /**
-         * Sets the source of jitter and of connection identifiers, which the event loop thread owns from then on.
+         * Sets the random generator for jitter and connection identifiers, which only the event loop thread uses from
+         * then on.
          *
-         * @param generator the source
+         * @param generator the random generator
          * @return this builder
          */
         public Builder random(RandomGenerator generator) {
@@ -270,8 +275,8 @@
         }
 
         /**
-         * Shares the event loop of the link's owner, which then ends it; else the link has one of its own. What the owner
-         * sends from that thread is written without waking another one.
+         * Sets an event loop that the link shares with its owner, who must shut it down; by default the link creates
+         * its own. Messages that the owner sends from that thread are written without waking another thread.
          *
          * @param shared the event loop
          * @return this builder
@@ -282,7 +287,7 @@
         }
 
         /**
-         * Sets who hears of events.
+         * Sets the listener for events.
          *
          * @param receiver the listener
          * @return this builder
--- a/protocol/src/main/java/org/carawaysill/protocol/link/PeerTable.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/PeerTable.java
@@ -16,9 +16,9 @@
 /**
  * The connections of this node, and which of them carries the messages of each peer.
  *
- * <p>Invariants: at most one connection to a peer is open, whoever dialled it; of two processes with one name the one
- * that started later has it; the listener hears connected and lost of a peer in turn. Confined to the event loop thread,
- * but for {@link #block}, which any thread may call.
+ * <p>Invariants: at most one connection to a peer is open, whichever side dialled it; of two processes with the same
+ * name, the one that started later holds it; for each peer, the listener receives connected and lost alternately.
+ * Confined to the event loop thread, except for {@link #block}, which any thread may call.
  */
 final class PeerTable {
 
@@ -57,12 +57,12 @@
         return random.nextLong();
     }
 
-    /** Sets who dials again after a loss. */
+    /** Sets the action that dials a peer again after its connection was lost. */
     void whenLost(Consumer<NodeName> action) {
         whenLost = action;
     }
 
-    /** Encodes a message, once where the same one goes to many peers in a row, as reports do. */
+    /** Encodes a message; a message sent to several peers in a row, such as a report, is encoded only once. */
     Frame frameOf(PeerMessage message) {
         if (lastEncoded.isEmpty() || lastEncoded.get().message() != message) {
             lastEncoded = Optional.of(new Encoded(message, PeerMessageCodec.encode(message)));
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Tells why a further connection of a peer may not be opened, if so. */
+    /** Returns why a further connection of a peer must not be opened; empty if it may be. */
     Optional<LinkFaultKind> objection(LinkIdentity peer) {
         PeerConnection present = open.get(peer.name());
         if (present == null) {
@@ -108,7 +108,7 @@
         return Optional.of(LinkFaultKind.DUPLICATE);
     }
 
-    /** Takes a connection into use in place of an older process's, if there is one. */
+    /** Makes a connection the open one of its peer; ends that of an older process, if there is one. */
     void opened(PeerConnection connection, LinkIdentity peer) {
         PeerConnection present = open.get(peer.name());
         if (present != null) {
@@ -118,7 +118,7 @@
         listener.connected(peer.name(), peer.incarnation());
     }
 
-    /** Reports what the end of a connection means, first the unsent messages, then the loss. */
+    /** Reports the end of a connection: first its unsent messages, then the loss. */
     void ended(PeerConnection connection, List<PeerMessage> unsent) {
         all.remove(connection);
         connection
@@ -153,12 +153,12 @@
         List.copyOf(open.values()).forEach(connection -> connection.checkDraining(now));
     }
 
-    /** Closes every connection with a peer, also one that is being greeted. */
+    /** Closes every connection to a peer, including those still in the handshake. */
     void close(NodeName peer) {
         List.copyOf(all).stream().filter(connection -> connection.isWith(peer)).forEach(PeerConnection::closeInOrder);
     }
 
-    /** Closes every connection, and each that begins later; the action runs once none is left. */
+    /** Closes every connection, and any that starts later; runs the action once none is left. */
     void closeAll(Runnable action) {
         whenEmpty = Optional.of(action);
         List.copyOf(all).forEach(PeerConnection::closeInOrder);
--- a/protocol/src/main/java/org/carawaysill/protocol/link/SendRing.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/SendRing.java
@@ -10,15 +10,19 @@
 import org.jctools.queues.atomic.MpscAtomicArrayQueue;
 
 /**
- * The bounded ring between the threads that send and the event loop.
+ * The bounded ring from the sending threads to the event loop.
  *
- * <p>Messages that are offered while the event loop is busy are written together and flushed once per connection.
- * Invariants: each message offered is written or reported as unsent, once; the messages of one sender keep their order.
- * Any thread may offer; only one thread at a time drains: the event loop, and after its end whoever holds the lock.
+ * <p>Messages that are offered while the event loop is busy are written in one batch and flushed once per connection.
+ * Invariants: each offered message is written or reported as unsent exactly once; the messages of one sender keep their
+ * order. Any thread may offer; only one thread at a time drains: the event loop, and after it has ended, the thread
+ * that holds the lock.
  */
 final class SendRing {
 
-    /** After so many messages the event loop turns to its sockets, so that a flood of sends can't starve the reads. */
+    /**
+     * How many messages the event loop writes before it serves its sockets, so that a flood of sends can't starve
+     * reads.
+     */
     private static final int MOST_PER_DRAIN = 512;
 
     private final MessagePassingQueue<Outgoing> queue;
@@ -49,13 +53,13 @@
         try {
             eventLoop.execute(this::drain);
         } catch (RejectedExecutionException e) {
-            // The event loop has ended just now; stop() follows and reports what is left here.
+            // The event loop has just ended; stop() follows and reports the remaining messages.
         }
     }
 
-    /** Writes what was offered; on the event loop. */
+    /** Writes the offered messages; runs on the event loop. */
     void drain() {
-        // Cleared before the first poll: what is offered after the last poll must schedule the next drain.
+        // Cleared before the first poll, so that a message offered after the last poll schedules the next drain.
         drainAhead.set(false);
         Set<PeerConnection> written = new HashSet<>();
         for (int i = 0; i < MOST_PER_DRAIN; i++) {
@@ -71,7 +75,7 @@
         }
     }
 
-    /** Writes all that was offered so far; on the event loop. */
+    /** Writes all messages offered so far; runs on the event loop. */
     void drainFully() {
         while (!queue.isEmpty()) {
             drain();
@@ -91,7 +95,7 @@
         return taken;
     }
 
-    /** Reports whatever is left, now and from now on; after the end of the event loop. */
+    /** Reports the remaining and all later messages as unsent; called after the event loop has ended. */
     void stop() {
         stopped = true;
         reportRest();
--- a/protocol/src/main/java/org/carawaysill/protocol/link/SocketOptions.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/SocketOptions.java
@@ -8,11 +8,11 @@
 /**
  * The options of the sockets between nodes.
  *
- * <p>Bounded buffers keep what lies in the operating system small: it can't be taken back, so after a loss each message
- * there counts as possibly arrived. Immutable and thread safe.
+ * <p>Bounded socket buffers limit how much data the operating system holds: that data can't be recalled, so after a
+ * lost connection each message in it counts as possibly delivered. Immutable and thread safe.
  *
- * @param bufferBytes the size asked for the operating system's buffers
- * @param waterMark the bytes waiting in this process above which a connection takes no more
+ * @param bufferBytes the requested size of the operating system's socket buffers
+ * @param waterMark the number of bytes pending in this process above which a connection accepts no more messages
  */
 record SocketOptions(int bufferBytes, WriteBufferWaterMark waterMark) {
 
--- a/protocol/src/main/java/org/carawaysill/protocol/link/TrafficKind.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/TrafficKind.java
@@ -2,9 +2,9 @@
 
 import org.carawaysill.protocol.generated.Frame;
 
-/** What the bytes between nodes are for; requests and answers are payload, all else is control. */
+/** The purpose of traffic between nodes; requests and answers are payload, all other kinds are control traffic. */
 public enum TrafficKind {
-    /** Greetings and probes. */
+    /** Handshakes and probes. */
     LINK,
     /** Requests. */
     REQUEST,
@@ -24,7 +24,7 @@
     CONFIGURATION,
     /** Reports of load and demand. */
     REPORT,
-    /** Requests under which copies crashed. */
+    /** Suspicions: requests that may have crashed copies. */
     SUSPICION;
 
     static TrafficKind of(Frame frame) {
--- a/protocol/src/main/java/org/carawaysill/protocol/link/package-info.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/package-info.java
@@ -1,4 +1,4 @@
-/** TCP connections between nodes: greeting, frames, reconnection and limits against broken or hostile peers. */
+/** TCP connections between nodes: handshake, framing, reconnection and limits against broken or hostile peers. */
 @NullMarked
 package org.carawaysill.protocol.link;
 
--- a/protocol/src/main/java/org/carawaysill/protocol/package-info.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/package-info.java
@@ -1,4 +1,4 @@
-/** Messages between nodes over TCP. */
+/** The protocol between nodes over TCP. */
 @NullMarked
 package org.carawaysill.protocol;
 
--- a/protocol/src/test/java/org/carawaysill/protocol/codec/Frames.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/codec/Frames.java
@@ -3,12 +3,12 @@
 import com.google.protobuf.ByteString;
 import org.carawaysill.protocol.generated.Frame;
 
-/** Alters valid frames. Stateless and thread safe. */
+/** Modifies valid frames. Stateless and thread safe. */
 final class Frames {
 
     private Frames() {}
 
-    /** Puts other content into a request's or an answer's body and leaves its length and checksum. */
+    /** Replaces the content of a request's or answer's body but keeps its stated length and checksum. */
     static Frame withBody(Frame frame, byte[] content) {
         Frame.Builder altered = frame.toBuilder();
         ByteString bytes = ByteString.copyFrom(content);
--- a/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecPropertyTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecPropertyTest.java
@@ -59,9 +59,9 @@
     }
 
     /**
-     * A caller gets half a bill as if it were the whole one. The answer's bytes are cut or altered on the way between two
-     * nodes, by a fault in a node or in what carries them, and what is left still parses. The cause would be an end that
-     * is inferred in place of being checked.
+     * Guards against a truncated answer that is passed to a caller as complete. If the bytes of an answer are truncated
+     * or altered between two nodes and the rest still parses, the decoder must detect it by length and checksum instead
+     * of inferring the end of the body.
      */
     @Property(seed = "4", tries = 3000)
     void anAlteredBodyIsNeverTakenForAnother(
@@ -96,7 +96,7 @@
         try {
             PeerMessageCodec.decode(Frame.parseFrom(bytes));
         } catch (ProtocolFault | InvalidProtocolBufferException e) {
-            // Both are typed; any other exception fails the property.
+            // Both are expected; any other exception fails the property.
         }
     }
 }
--- a/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecTest.java
@@ -79,9 +79,9 @@
     class Durations {
 
         /**
-         * Every request between two nodes is lost for a moment under overload. A request's deadline passes between the
-         * decision to send it and the sending, its remaining time is negative, and the receiver takes it for hostile
-         * input and closes the connection with all that is in flight on it.
+         * Guards against lost requests between two nodes under overload: a request's deadline passes between the
+         * decision to send it and the sending, so its remaining time is negative. The receiver would reject it as
+         * malformed input and close the connection, with all requests in flight on it.
          */
         @Test
         void aDeadlineThatHasPassedTravelsAsNoTimeLeft() throws ProtocolFault {
@@ -136,8 +136,8 @@
         }
 
         /**
-         * An upstream copy runs a request that no caller made. A header's value from another node holds a line end and a
-         * second request, and is written to the copy as it stands.
+         * Guards against request injection: a header value from another node contains a line break and a second
+         * request. Written to the copy unchanged, it would make the copy run a request that no caller made.
          */
         @Test
         void headersAndPathsCarryNoLineEnds() {
--- a/protocol/src/test/java/org/carawaysill/protocol/codec/RandomMessages.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/codec/RandomMessages.java
@@ -73,7 +73,7 @@
 import org.carawaysill.policy.message.StateSummary.ServiceCost;
 import org.carawaysill.policy.message.Suspicion;
 
-/** Draws messages of every kind with all their values, the least and the greatest more often than others. */
+/** Generates random messages of every kind; the least and greatest values are drawn more often than others. */
 record RandomMessages(RandomGenerator random) {
 
     private static final long LONGEST_NANOS = Duration.ofDays(30).toNanos();
--- a/protocol/src/test/java/org/carawaysill/protocol/link/HostileInputTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/HostileInputTest.java
@@ -26,11 +26,11 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What a broken or hostile process can send.
+ * Input that a broken or hostile process can send.
  *
- * <p>The story of each: one process of the fleet, an operator's tool or a port scanner sends what no node would; without
- * the guard the node's event loop dies or fills up, and every caller of its copy sees timeouts. So each test ends with a
- * look at another connection, which must not be touched.
+ * <p>A broken process of the fleet, an operator's tool or a port scanner sends input that no node would send. Without
+ * protection, the node's event loop fails or is overloaded, and every caller of its copy sees timeouts. Each test
+ * therefore ends with a check that another connection is unaffected.
  */
 @Timeout(120)
 class HostileInputTest {
@@ -203,7 +203,7 @@
             try (peer) {
                 peer.writeRaw(bytes);
             } catch (SocketException e) {
-                // The node has closed the connection already.
+                // The node has already closed the connection.
             }
         }
     }
--- a/protocol/src/test/java/org/carawaysill/protocol/link/LinkTrial.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/LinkTrial.java
@@ -30,11 +30,11 @@
 import org.carawaysill.policy.message.PeerMessage.Purpose;
 
 /**
- * Measures round trips of a request and its answer between two links in this process over loopback, beside an echo of as
- * many bytes over blocking sockets in the same run.
+ * Measures round trips of a request and its answer between two links in this process over loopback, and, for
+ * comparison, an echo of as many bytes over blocking sockets in the same run.
  *
- * <p>A program to run by hand, not a test: its figures depend on what else the machine does. One thread sends; the event
- * loops take the times.
+ * <p>A program to run by hand, not a test: its results depend on the load of the machine. One thread sends; the event
+ * loops record the times.
  */
 final class LinkTrial {
 
@@ -58,7 +58,7 @@
     private LinkTrial() {}
 
     /**
-     * Runs the trial and prints its figures.
+     * Runs the measurement and prints its results.
      *
      * @param arguments none
      * @throws IOException if the echo fails
@@ -109,7 +109,7 @@
         print(what, samples, System.nanoTime() - start, processorNanos() - processor);
     }
 
-    /** The whole process's time on processors, which other work on the machine changes less than latencies. */
+    /** Returns the processor time of the whole process, which other load on the machine affects less than latencies. */
     private static long processorNanos() {
         return ProcessHandle.current().info().totalCpuDuration().orElseThrow().toNanos();
     }
@@ -165,7 +165,7 @@
                 socket.getOutputStream().write(bytes);
             }
         } catch (IOException e) {
-            // The asker has all its samples.
+            // The client has closed the connection after its last sample.
         }
     }
 
--- a/protocol/src/test/java/org/carawaysill/protocol/link/LossTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/LossTest.java
@@ -24,13 +24,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections that end, and what becomes of the messages on them. */
+/** Verifies what happens to messages when connections end. */
 @Timeout(120)
 class LossTest {
 
     private static final NodeName PEER = new NodeName("tracker-1");
 
-    /** A large message that can be told from others. */
+    /** Creates a large message that is identified by its version. */
     private static PeerMessage document(int version, int bytes) {
         return new ConfigurationDocument(new ServiceName("manifests"), version, "x".repeat(bytes));
     }
@@ -75,9 +75,10 @@
         }
 
         /**
-         * A posting runs twice. The peer freezes, the connection ends, and a request is reported as unsent, so that it is
-         * tried elsewhere; but it had been given to the operating system, and the peer runs it when it wakes. No message
-         * of which the peer can still read a byte may be reported as unsent; all others must be.
+         * Guards against a posting that runs twice: the peer freezes, the connection ends, and a request is reported as
+         * unsent and retried at another copy, although it had been passed to the operating system and the peer runs it
+         * when it resumes. A message of which the peer can still read a byte must not be reported as unsent; all others
+         * must be.
          */
         @Test
         void afterAFrozenPeerWakesNothingUnsentHasArrived() throws IOException, ProtocolFault {
@@ -106,7 +107,7 @@
             }
         }
 
-        /** Takes the whole messages from bytes, and leaves what is behind the last of them. */
+        /** Reads the complete messages from a buffer, and leaves the bytes after the last of them. */
         private List<PeerMessage> wholeMessages(ByteBuffer bytes) throws IOException, ProtocolFault {
             List<PeerMessage> messages = new ArrayList<>();
             while (bytes.remaining() > Integer.BYTES
@@ -119,8 +120,8 @@
         }
 
         /**
-         * A node's memory grows until it dies, while one of its peers is frozen. Messages to that peer pile up for as
-         * long as the connection looks alive.
+         * Guards against a node that runs out of memory while one of its peers is frozen: messages to that peer would
+         * accumulate for as long as the connection looks alive.
          */
         @Test
         void aPeerThatDoesNotReadGetsNoMoreThanTheHighWaterMark() throws IOException {
@@ -153,8 +154,8 @@
     class Lost {
 
         /**
-         * A caller gets a part of an answer. The peer dies while it writes a message, and the part that came is taken for
-         * the whole.
+         * Guards against a partial answer that reaches a caller: the peer dies while it writes a message, and the
+         * received part is mistaken for the complete message.
          */
         @Test
         void aMessageCutInTheMiddleIsNotReceived() throws IOException {
@@ -199,8 +200,9 @@
     class Closing {
 
         /**
-         * A planned stop cuts off answers. The node gives its last answers to its link, closes it at once, and the peer
-         * is still sending: the operating system resets the connection and the answers are gone.
+         * Guards against answers lost in a planned stop: the node passes its last answers to its link and closes it
+         * immediately while the peer is still sending. The operating system would reset the connection and discard the
+         * answers.
          */
         @Test
         void whatWasSentBeforeTheCloseArrives() {
--- a/protocol/src/test/java/org/carawaysill/protocol/link/PeerLinkTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/PeerLinkTest.java
@@ -69,8 +69,9 @@
         }
 
         /**
-         * Requests end as "unknown" each time two nodes start together. Both dial, each takes its own connection into
-         * use and closes the other's, and what was sent in between is lost. The cause would be that both choose.
+         * Guards against lost messages when two nodes start at the same time: both dial, and if both were to select the
+         * connection, each would use its own and close the other's. Messages sent in between would be lost, and
+         * requests end as "unknown".
          */
         @Test
         void nodesThatDialEachOtherAtOnceLoseNothing() {
@@ -132,8 +133,8 @@
     class CollidingNames {
 
         /**
-         * Calls go on to a VM that is gone. The VM was replaced, the new one has its name, and the connection to the old
-         * one, which is paused, looks alive. Its place must go to the process that started later.
+         * Guards against calls to a VM that was replaced: the new VM has the same name, and the connection to the
+         * paused old one still looks alive. The process that started later must replace it.
          */
         @Test
         void theNewerProcessTakesThePlaceOfTheOlder() {
@@ -189,8 +190,9 @@
         }
 
         /**
-         * After a partition heals, a node stays unreachable for minutes. It has lost the old connection and dials anew;
-         * this side has not noticed, and refuses each new connection as a duplicate of the dead one.
+         * Guards against a node that stays unreachable for minutes after a partition heals: it has lost the old
+         * connection and dials again, but this side has not noticed and refuses each new connection as a duplicate of
+         * the dead one.
          */
         @Test
         void aSilentConnectionGivesWayToANewOneOfTheSameProcess() throws IOException {
@@ -218,8 +220,8 @@
         }
 
         /**
-         * Requests for one copy reach another. A VM is gone and its address is used again for a node of another name,
-         * which is dialled in its place.
+         * Guards against requests that reach the wrong copy: the address of a removed VM is reused for a node with
+         * another name, which is then dialled instead.
          */
         @Test
         void aNodeThatIsNotTheOneDialledIsLeft() {
--- a/protocol/src/test/java/org/carawaysill/protocol/link/RawPeer.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/RawPeer.java
@@ -9,7 +9,7 @@
 import org.carawaysill.model.identity.ServiceName;
 import org.carawaysill.protocol.generated.Frame;
 
-/** The other end of a connection, under a test's full control, for what no link would do. */
+/** The other end of a connection as a plain socket, with which a test can send input that no link would send. */
 final class RawPeer implements AutoCloseable {
 
     private static final int PATIENCE_MILLIS = 30_000;
@@ -33,7 +33,7 @@
         return LinkFrames.hello(new LinkIdentity(new NodeName(name), new ServiceName("tracker"), incarnation), 1);
     }
 
-    /** Greets a node whose name is the lesser one, up to the point at which messages may follow. */
+    /** Completes the handshake with a node whose name is the lesser one, so that messages may follow. */
     static RawPeer greet(TestNode node, String name, long incarnation) throws IOException {
         RawPeer peer = dial(node);
         peer.write(hello(name, incarnation));
@@ -51,7 +51,7 @@
         output.write(frame);
     }
 
-    /** Writes bytes with nothing before them. */
+    /** Writes bytes without a length field. */
     void writeRaw(byte[] bytes) throws IOException {
         output.write(bytes);
     }
@@ -69,12 +69,12 @@
     void awaitClosed() {
         try {
             while (input.read() >= 0) {
-                // What comes before the end does not matter here.
+                // The data before the end is ignored.
             }
         } catch (java.net.SocketTimeoutException e) {
             throw new AssertionError("the connection was not closed", e);
         } catch (IOException e) {
-            // A reset is an end as well.
+            // A reset also ends the connection.
         }
     }
 
--- a/protocol/src/test/java/org/carawaysill/protocol/link/RecordingListener.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/RecordingListener.java
@@ -8,10 +8,10 @@
 import org.carawaysill.model.identity.NodeName;
 import org.carawaysill.policy.message.PeerMessage;
 
-/** Records what a link reports, and lets a test wait for it. Thread safe. */
+/** Records the events of a link, and lets a test wait for them. Thread safe. */
 final class RecordingListener implements PeerListener {
 
-    /** What a link reported. */
+    /** An event that a link reported. */
     sealed interface Report {
 
         record Connected(NodeName peer, long incarnation) implements Report {}
@@ -27,7 +27,7 @@
 
     private static final Duration PATIENCE = Duration.ofSeconds(30);
 
-    /** Conditions may also look at what is not reported here, such as counters. */
+    /** Conditions are polled, since they may also depend on state that is not reported here, such as counters. */
     private static final long POLL_MILLIS = 20;
 
     private final List<Report> reports = new ArrayList<>();
@@ -82,7 +82,7 @@
         await(all -> all.contains(report));
     }
 
-    /** Waits for a fault of a kind and gives the first. */
+    /** Waits for a fault of a kind and returns the first one. */
     LinkFault awaitFault(LinkFaultKind kind) {
         await(_ -> fault(kind).isPresent());
         return fault(kind).orElseThrow();
--- a/protocol/src/test/java/org/carawaysill/protocol/link/TestNode.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/TestNode.java
@@ -7,10 +7,10 @@
 import org.carawaysill.policy.message.PeerMessage;
 import org.carawaysill.protocol.link.RecordingListener.Report;
 
-/** A started link on loopback with what it reports. */
+/** A started link on loopback, with a record of its events. */
 final class TestNode implements AutoCloseable {
 
-    /** Limits that no test reaches by being slow on a busy machine; only new dials come soon. */
+    /** Limits that are not reached by accident on a busy machine; only the redial delays are short. */
     static final LinkLimits PATIENT = patient().build();
 
     private static final long SEED = 7;
