--- a/model/src/main/java/org/carawaysill/model/configuration/CallerEntry.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/CallerEntry.java
@@ -3,7 +3,7 @@
 import org.carawaysill.model.identity.CallerName;
 
 /**
- * A caller that the operators know.
+ * A caller that the operators have configured.
  *
  * <p>Immutable and thread safe.
  *
--- a/model/src/main/java/org/carawaysill/model/configuration/Classification.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/Classification.java
@@ -4,12 +4,12 @@
 import org.carawaysill.model.request.RequestTerms;
 
 /**
- * What a request is, by the published configuration.
+ * The classification of a request by the published configuration.
  *
  * <p>Immutable and thread safe.
  *
  * @param operation the first operation that matches
- * @param terms what the selectors grant
+ * @param terms the terms that the selectors grant
  * @param matched the selectors that match, in published order
  */
 public record Classification(Operation operation, RequestTerms terms, List<Selector> matched) {
--- a/model/src/main/java/org/carawaysill/model/configuration/CompiledOperation.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/CompiledOperation.java
@@ -7,7 +7,7 @@
  *
  * @param operation the operation
  * @param path its path
- * @param index its place in published order, from 0
+ * @param index its position in published order, from 0
  */
 record CompiledOperation(Operation operation, PathPattern path, int index) {
 
@@ -17,7 +17,7 @@
         return matchesMethod(method) && path.matches(requestPath);
     }
 
-    /** Tells whether this operation matches each request that another one matches. */
+    /** Returns whether this operation matches every request that another one matches. */
     boolean covers(CompiledOperation other) {
         return matchesMethod(other.operation.method()) && path.covers(other.path);
     }
--- a/model/src/main/java/org/carawaysill/model/configuration/CompiledSelector.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/CompiledSelector.java
@@ -7,14 +7,14 @@
 import java.util.stream.Stream;
 
 /**
- * A selector with its patterns compiled, by scope.
+ * A selector whose patterns are compiled, grouped by scope.
  *
  * <p>Immutable and thread safe.
  *
  * @param selector the selector
- * @param service what the service's labels must match
- * @param request what the operation's labels must match
- * @param caller what the caller's labels must match
+ * @param service the patterns that the service's labels must match
+ * @param request the patterns that the operation's labels must match
+ * @param caller the patterns that the caller's labels must match
  */
 record CompiledSelector(
         Selector selector, List<KeyedPattern> service, List<KeyedPattern> request, List<KeyedPattern> caller) {
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Finds what keeps the selector from matching.
+     * Finds the patterns that prevent the selector from matching.
      *
      * @param labels all labels of a request
-     * @return each pattern that does not match, by scoped key in the order of names
+     * @return each pattern that does not match, sorted by scoped key
      */
     List<SelectorMismatch> mismatches(Map<String, String> labels) {
         return Stream.of(service, request, caller)
--- a/model/src/main/java/org/carawaysill/model/configuration/CopyEntry.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/CopyEntry.java
@@ -10,7 +10,7 @@
  *
  * @param node the node beside the copy
  * @param zone the availability zone of its VM
- * @param host the IP number of its VM
+ * @param host the IP address of its VM
  * @param peerPort the TCP port at which the node listens for other nodes
  * @param slots how many requests the copy can run at a time
  * @param connections how many connections the copy accepts
--- a/model/src/main/java/org/carawaysill/model/configuration/LabelPattern.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/LabelPattern.java
@@ -1,9 +1,9 @@
 package org.carawaysill.model.configuration;
 
 /**
- * A pattern for a label's value, in which each {@code *} stands for any text, also for none.
+ * A pattern for a label's value, in which each {@code *} matches any text, including none.
  *
- * <p>Immutable and thread safe. Matching takes time in proportion to the value's length times the number of stars.
+ * <p>Immutable and thread safe. Matching takes time proportional to the value's length times the number of stars.
  */
 final class LabelPattern {
 
@@ -29,7 +29,7 @@
         return middleMatches(value.substring(first.length(), value.length() - last.length()));
     }
 
-    /** Takes the leftmost place of each part between two stars, which leaves the most room to the next. */
+    /** Matches each part between two stars at its leftmost position, which leaves the most text for the next part. */
     private boolean middleMatches(String middle) {
         int position = 0;
         for (int i = 1; i < parts.length - 1; i++) {
--- a/model/src/main/java/org/carawaysill/model/configuration/Labels.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/Labels.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * The operators' labels on a service, an operation or a caller.
+ * The operators' labels of a service, an operation or a caller.
  *
  * <p>Immutable and thread safe.
  *
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Looks a label up.
+     * Looks up a label.
      *
      * @param key the label's key
      * @return its value
--- a/model/src/main/java/org/carawaysill/model/configuration/LabelsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/LabelsReader.java
@@ -10,9 +10,9 @@
 /**
  * Reads the operators' labels of a service, an operation or a caller.
  *
- * <p>Immutable and thread safe, but for the collector.
+ * <p>Immutable and thread safe, except for the collector.
  *
- * @param reservedKey the key that is taken by the name of what is labelled
+ * @param reservedKey the key that is reserved for the name of the labelled object
  * @param faults receives the faults
  */
 record LabelsReader(String reservedKey, FaultCollector faults) {
--- a/model/src/main/java/org/carawaysill/model/configuration/OperationIndex.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/OperationIndex.java
@@ -7,10 +7,11 @@
 import java.util.Optional;
 
 /**
- * The operations of a service by the first segment of their path, so that a request is compared with few of them.
+ * Indexes the operations of a service by the first segment of their path, so that a request is compared with only a few
+ * of them.
  *
- * <p>Invariant: each list is in published order and holds every operation that can match a path with that first segment.
- * Not thread safe while operations are added, then read only.
+ * <p>Invariant: each list is in published order and holds every operation that can match a path with that first
+ * segment. Not thread safe while operations are added; read-only afterwards.
  */
 final class OperationIndex {
 
@@ -46,7 +47,7 @@
     }
 
     /**
-     * Finds an operation that leaves nothing to match for one that is added after it.
+     * Finds an earlier operation that matches every request of a later one, so that the later one would never match.
      *
      * @param later the later operation
      * @return the earlier operation
--- a/model/src/main/java/org/carawaysill/model/configuration/OperationsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/OperationsReader.java
@@ -11,7 +11,8 @@
 import org.carawaysill.model.document.TableReader;
 
 /**
- * Reads the operations of a service: each with its own name, and none that an earlier one leaves nothing to match.
+ * Reads the operations of a service; reports repeated names and operations that never match because an earlier one
+ * matches all their requests.
  *
  * <p>Not thread safe: one instance reads one document.
  */
--- a/model/src/main/java/org/carawaysill/model/configuration/PathPattern.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/PathPattern.java
@@ -5,10 +5,11 @@
 import java.util.Optional;
 
 /**
- * A pattern for paths: a segment {@code *} matches one segment, a last segment {@code **} any rest, also none.
+ * A pattern for paths: a segment {@code *} matches one segment, a final segment {@code **} matches any number of
+ * segments, including none.
  *
- * <p>No star matches an empty segment or a dot segment, so that a path that a copy would resolve to another one is not
- * taken for this operation. Immutable and thread safe.
+ * <p>No star matches an empty segment or a dot segment, so that a path which a copy would resolve to another path is
+ * not matched to this operation. Immutable and thread safe.
  */
 final class PathPattern {
 
@@ -21,10 +22,10 @@
     private final boolean openEnded;
 
     /**
-     * Reads a pattern.
+     * Parses a pattern.
      *
      * @param pattern the pattern
-     * @throws IllegalArgumentException if it is malformed; the message tells how
+     * @throws IllegalArgumentException if it is malformed; the message describes the fault
      */
     PathPattern(String pattern) {
         if (!pattern.startsWith("/") || pattern.contains("?") || pattern.contains("#") || pattern.contains(" ")) {
@@ -52,24 +53,24 @@
         }
     }
 
-    /** Gives the pattern as written. */
+    /** Returns the pattern as written. */
     String text() {
         return text;
     }
 
-    /** Gives the first segment that each matching path has, if there is one. */
+    /** Returns the literal first segment that every matching path has, if the pattern has one. */
     Optional<String> firstLiteral() {
         return segments.length == 0 || segments[0].equals(ONE) ? Optional.empty() : Optional.of(segments[0]);
     }
 
-    /** Gives the first segment of a path, with or without its query; empty where the path has none. */
+    /** Returns the first segment of a path, with or without its query; empty if the path has none. */
     static String firstSegment(String path) {
         int end = endOfPath(path);
         return end == 0 ? "" : path.substring(1, endOfSegment(path, 1, end));
     }
 
     /**
-     * Matches a path.
+     * Returns whether a path matches this pattern.
      *
      * @param path the path, with or without its query
      * @return whether it matches
@@ -91,10 +92,10 @@
     }
 
     /**
-     * Tells whether this pattern matches each path that another matches.
+     * Returns whether this pattern matches every path that another one matches.
      *
      * @param other the other pattern
-     * @return true if nothing is left for the other
+     * @return true if every path that the other matches also matches this pattern
      */
     boolean covers(PathPattern other) {
         boolean lengthFits = openEnded
@@ -141,9 +142,9 @@
     }
 
     /**
-     * Guards against a path such as {@code /bills/../issue}: classified by its written form it would get the terms of
-     * one operation, idempotent perhaps, while the copy resolves it and runs another. Such a path matches no operation
-     * and is refused.
+     * Guards against a path such as {@code /bills/../issue}: classified by its literal form, it would get the terms of
+     * one operation, possibly as idempotent, while the copy resolves it and runs another operation. Such a path matches
+     * no operation and is refused.
      */
     private static boolean isDotSegment(String path, int start, int end) {
         boolean possible = start < end && (path.charAt(start) == '.' || path.charAt(start) == '%');
--- a/model/src/main/java/org/carawaysill/model/configuration/RequestClassifier.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/RequestClassifier.java
@@ -10,11 +10,11 @@
 import org.carawaysill.model.request.RequestTerms;
 
 /**
- * Classifies requests by one service's configuration: the first operation that matches, then for each term the first
- * selector that matches and states it.
+ * Classifies requests by the configuration of one service: determines the first operation that matches, then takes each
+ * term from the first matching selector that states it.
  *
- * <p>Selectors are evaluated once for each pair of operation and caller and then remembered, the
- * {@value #REMEMBERED} pairs used last. Not thread safe: used by the one thread that decides.
+ * <p>Selectors are evaluated once per pair of operation and caller; the results of the {@value #REMEMBERED} most
+ * recently used pairs are cached. Not thread safe: used by the policy's thread only.
  */
 public final class RequestClassifier {
 
@@ -29,9 +29,9 @@
     private final Map<OperationCaller, Classification> remembered = new RecentClassifications();
 
     /**
-     * Prepares to classify.
+     * Creates a classifier.
      *
-     * @param configuration a checked configuration
+     * @param configuration a validated configuration
      */
     public RequestClassifier(ServiceConfiguration configuration) {
         defaults = configuration.defaults();
@@ -54,7 +54,7 @@
      *
      * @param method the HTTP method
      * @param path the path, with or without its query
-     * @param caller who asks
+     * @param caller the caller
      * @return the classification, or empty if no operation matches
      */
     public Optional<Classification> classify(String method, String path, CallerName caller) {
@@ -96,14 +96,14 @@
         return matched.stream().map(term).flatMap(Optional::stream).findFirst();
     }
 
-    /** What a classification depends on. */
+    /** The key of a cached classification. */
     private record OperationCaller(int operation, CallerName caller) {}
 
     /**
-     * Forgets the classification that was used longest ago.
+     * A bounded cache that evicts the least recently used classification.
      *
-     * <p>Guards the memory of the node against clients that name themselves anew with each request: the map stays at its
-     * bound, and such a client pays with an evaluation per request.
+     * <p>The bound protects the memory of the node against clients that use a new caller name for each request; each
+     * request of such a client costs an evaluation.
      */
     private static final class RecentClassifications extends LinkedHashMap<OperationCaller, Classification> {
 
--- a/model/src/main/java/org/carawaysill/model/configuration/RequestExplanation.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/RequestExplanation.java
@@ -9,9 +9,9 @@
 import org.carawaysill.model.identity.CallerName;
 
 /**
- * How a request comes to its classification: its labels and what each selector makes of them.
+ * Explains the classification of a request: its labels, and whether each selector matches them.
  *
- * <p>Invariant: the selectors that match are those of the classification. Immutable and thread safe.
+ * <p>Invariant: the matching selectors are those of the classification. Immutable and thread safe.
  *
  * @param classification the classification
  * @param labels all labels of the request by scoped key
@@ -26,12 +26,12 @@
     }
 
     /**
-     * Explains a request; meant for operators, not for each request that a node serves.
+     * Explains the classification of a request; intended for operators, not for every request that a node serves.
      *
-     * @param configuration a checked configuration
+     * @param configuration a validated configuration
      * @param method the HTTP method
      * @param path the path, with or without its query
-     * @param caller who asks
+     * @param caller the caller
      * @return the explanation, or empty if no operation matches
      */
     public static Optional<RequestExplanation> explain(
--- a/model/src/main/java/org/carawaysill/model/configuration/RequestLabels.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/RequestLabels.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * The labels that selectors match, by {@code service.KEY}, {@code request.KEY} and {@code caller.KEY}.
+ * Creates the labels that selectors match, with keys {@code service.KEY}, {@code request.KEY} and {@code caller.KEY}.
  *
- * <p>Besides the operators' labels there are three that follow from the names: {@code service.name},
- * {@code request.operation} and {@code caller.name}. Stateless and thread safe.
+ * <p>In addition to the operators' labels, there are three that are derived from names: {@code service.name}, {@code
+ * request.operation} and {@code caller.name}. Stateless and thread safe.
  */
 final class RequestLabels {
 
--- a/model/src/main/java/org/carawaysill/model/configuration/RosterReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/RosterReader.java
@@ -14,7 +14,7 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * Reads the roster of a service: at least one copy, each with its own node and its own address.
+ * Reads the roster of a service; reports an empty roster and repeated nodes or addresses.
  *
  * <p>Not thread safe: one instance reads one document.
  */
--- a/model/src/main/java/org/carawaysill/model/configuration/Selector.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/Selector.java
@@ -6,7 +6,8 @@
 import org.carawaysill.model.request.Importance;
 
 /**
- * A selector: which requests it matches by label, and what it grants them. The first selector that states a term wins.
+ * A rule that matches requests by label and grants them terms. For each term, the first matching selector that states
+ * it applies.
  *
  * <p>Immutable and thread safe.
  *
--- a/model/src/main/java/org/carawaysill/model/configuration/SelectorExplanation.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/SelectorExplanation.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * Whether a selector matches a request, and if not, why.
+ * States whether a selector matches a request, and if not, why.
  *
  * <p>Immutable and thread safe.
  *
  * @param selector the selector
- * @param mismatches what keeps it from matching; empty if it matches
+ * @param mismatches the labels that prevent a match; empty if the selector matches
  */
 public record SelectorExplanation(Selector selector, List<SelectorMismatch> mismatches) {
 
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Tells whether the selector matches.
+     * Returns whether the selector matches.
      *
-     * @return true if nothing keeps it from matching
+     * @return true if there are no mismatches
      */
     public boolean matches() {
         return mismatches.isEmpty();
--- a/model/src/main/java/org/carawaysill/model/configuration/SelectorsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/SelectorsReader.java
@@ -30,7 +30,7 @@
     private final Set<String> knownKeys = new TreeSet<>();
 
     /**
-     * Prepares to read.
+     * Creates a reader.
      *
      * @param faults receives the faults
      * @param service the labels of the service
@@ -98,7 +98,10 @@
         return known;
     }
 
-    /** Values of the service's labels are not checked, so that one list of selectors can serve several services. */
+    /**
+     * Reports a selector that can never match. The values of the service's labels are not checked, so that several
+     * services can share one list of selectors.
+     */
     private void checkCanMatch(TableReader table, CompiledSelector selector) {
         if (!selector.request().isEmpty() && requests.stream().noneMatch(selector::matchesRequest)) {
             table.fault("match", "never matches, for no operation has all of these request labels");
--- a/model/src/main/java/org/carawaysill/model/configuration/ServiceConfiguration.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/ServiceConfiguration.java
@@ -8,20 +8,20 @@
 import org.carawaysill.model.request.RequestTerms;
 
 /**
- * One service's published configuration in one version: its roster, its labels and its selectors.
+ * One version of a service's published configuration: its roster, labels and selectors.
  *
- * <p>Invariant: checked as a whole by the parser before it exists. Immutable and thread safe.
+ * <p>Invariant: the parser has validated it as a whole. Immutable and thread safe.
  *
  * @param service the service
- * @param version the platform's version number of the document
+ * @param version the version number that the platform gave the document
  * @param labels the service's labels
- * @param calls the services that the copies of this one call
+ * @param calls the services that the copies of this service call
  * @param copies the roster, in published order
- * @param operations the operations, of which the first match counts
- * @param callers the callers that the operators know
- * @param selectors the selectors, of which the first that states a term wins
- * @param defaults the terms that no selector states
- * @param limits what holds for the service as a whole
+ * @param operations the operations, of which the first match applies
+ * @param callers the callers that the operators have configured
+ * @param selectors the selectors; the first that states a term determines it
+ * @param defaults the terms to use where no selector states them
+ * @param limits the limits of the service as a whole
  */
 public record ServiceConfiguration(
         ServiceName service,
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Starts a configuration with a name, a version and a roster; the rest is empty or has its default.
+     * Creates a builder with a name, a version and a roster; everything else is empty or has its default.
      *
      * @param service the service
      * @param version the platform's version number
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Finds a copy of the roster.
+     * Finds a copy in the roster.
      *
      * @param node the node beside the copy
      * @return its entry
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Finds a caller that the operators know.
+     * Finds a caller that the operators have configured.
      *
      * @param name the caller's name
      * @return its entry
--- a/model/src/main/java/org/carawaysill/model/configuration/ServiceConfigurationBuilder.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/ServiceConfigurationBuilder.java
@@ -7,13 +7,13 @@
 import org.carawaysill.model.request.RequestTerms;
 
 /**
- * Builds a service's configuration part by part; what is not set is empty or has its default.
+ * Builds a service's configuration; values that are not set are empty or have their defaults.
  *
- * <p>It checks nothing: the parser does. Not thread safe.
+ * <p>Does not validate: the parser does. Not thread safe.
  */
 public final class ServiceConfigurationBuilder {
 
-    /** The terms where neither a selector nor the document's defaults state one. */
+    /** The terms used where neither a selector nor the document's defaults state one. */
     public static final RequestTerms DEFAULT_TERMS =
             new RequestTerms(Importance.ORDINARY, false, 2, Duration.ofSeconds(2));
 
@@ -59,7 +59,7 @@
     /**
      * Sets the operations.
      *
-     * @param value the operations, of which the first match counts
+     * @param value the operations, of which the first match applies
      * @return this builder
      */
     public ServiceConfigurationBuilder operations(List<Operation> value) {
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Sets the callers that the operators know.
+     * Sets the callers that the operators have configured.
      *
      * @param value the callers
      * @return this builder
@@ -81,7 +81,7 @@
     /**
      * Sets the selectors.
      *
-     * @param value the selectors, of which the first that states a term wins
+     * @param value the selectors; the first that states a term determines it
      * @return this builder
      */
     public ServiceConfigurationBuilder selectors(List<Selector> value) {
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Sets the terms that no selector states.
+     * Sets the terms to use where no selector states them.
      *
      * @param value the terms
      * @return this builder
@@ -101,7 +101,7 @@
     }
 
     /**
-     * Sets what holds for the service as a whole.
+     * Sets the limits of the service as a whole.
      *
      * @param value the limits
      * @return this builder
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Makes the configuration.
+     * Creates the configuration.
      *
      * @return the configuration
      */
--- a/model/src/main/java/org/carawaysill/model/configuration/ServiceConfigurationParser.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/ServiceConfigurationParser.java
@@ -16,10 +16,10 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Reads the document that operators publish for a service and checks it as a whole.
+ * Parses the document that operators publish for a service and validates it as a whole.
  *
- * <p>Invariant: a result is valid only if no fault was found anywhere, and depends on nothing but the text, so that
- * every node accepts or refuses a document alike. Not thread safe: one instance reads one text.
+ * <p>Invariant: a result is valid only if no fault was found anywhere, and depends only on the text, so that all nodes
+ * accept or refuse the same documents. Not thread safe: one instance reads one text.
  */
 public final class ServiceConfigurationParser {
 
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Reads a document.
+     * Parses a document.
      *
      * @param text the document
-     * @param version the platform's version number of it
+     * @param version the version number that the platform gave it
      * @return the configuration, or every fault that was found
      */
     public static ParseResult<ServiceConfiguration> parse(String text, long version) {
--- a/model/src/main/java/org/carawaysill/model/configuration/ServiceLimits.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/ServiceLimits.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * What holds for a service as a whole, whatever the request.
+ * Limits of a service as a whole, independent of the request.
  *
  * <p>Immutable and thread safe.
  *
- * @param retryBudget how many retries the nodes send into the service for each first attempt, 0 to 1
- * @param keyLifetime how long callers may come back with the same idempotency key
+ * @param retryBudget the number of retries that the nodes may send to the service per first attempt, 0 to 1
+ * @param keyLifetime how long callers may repeat a request with the same idempotency key
  */
 public record ServiceLimits(double retryBudget, Duration keyLifetime) {
 
-    /** What holds where the document states nothing. */
+    /** The limits used where the document states none. */
     public static final ServiceLimits DEFAULTS = new ServiceLimits(0.1, Duration.ofHours(1));
 
     public ServiceLimits {
--- a/model/src/main/java/org/carawaysill/model/document/AddressFormat.java
+++ b/model/src/main/java/org/carawaysill/model/document/AddressFormat.java
@@ -5,22 +5,23 @@
 import org.carawaysill.model.identity.NetworkAddress;
 
 /**
- * An IP number and a port, such as {@code 127.0.0.1:21002} or {@code [::1]:21002}. Immutable and thread safe.
+ * The format of an IP address and a port, such as {@code 127.0.0.1:21002} or {@code [::1]:21002}. Immutable and thread
+ * safe.
  *
- * <p>Names of hosts are refused: the programs look nothing up.
+ * <p>Host names are rejected, since the programs resolve no names.
  *
- * @param use what the address is for, which decides what is allowed
+ * @param use the purpose of the address, which determines the allowed values
  */
 public record AddressFormat(Use use) implements TextFormat<NetworkAddress> {
 
     private static final Pattern FOUR_NUMBERS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}");
     private static final String EXPECTED = "expected an IP number and a port, such as \"127.0.0.1:21002\"";
 
-    /** What an address is for. */
+    /** The purpose of an address. */
     public enum Use {
-        /** To listen at: any local address, and port 0 for a free port. */
+        /** For listening: any local address, and port 0 for any free port. */
         LISTEN,
-        /** To connect to: neither the unspecified address nor port 0. */
+        /** For connecting: neither the unspecified address nor port 0. */
         CONNECT
     }
 
--- a/model/src/main/java/org/carawaysill/model/document/ChoiceFormat.java
+++ b/model/src/main/java/org/carawaysill/model/document/ChoiceFormat.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 
 /**
- * One of the constants of an enum, written in lower case. Immutable and thread safe.
+ * The format of an enum constant, written in lower case. Immutable and thread safe.
  *
  * @param type the enum
  * @param <E> the type of the enum
--- a/model/src/main/java/org/carawaysill/model/document/DistinctValues.java
+++ b/model/src/main/java/org/carawaysill/model/document/DistinctValues.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Reports the values of a document that stand twice where each must be different.
+ * Reports values that a document repeats where each must be distinct.
  *
  * <p>Not thread safe: used by the one thread that reads the document.
  *
@@ -17,7 +17,7 @@
     private final Map<T, Located<T>> seen = new HashMap<>();
 
     /**
-     * Starts with no values.
+     * Creates an empty set of values.
      *
      * @param description what the values are, such as "node name"
      * @param faults receives a fault for each repeated value
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Adds a value; a fault is reported if it was added before.
+     * Adds a value; reports a fault if it was added before.
      *
      * @param value the value
      */
--- a/model/src/main/java/org/carawaysill/model/document/DurationFormat.java
+++ b/model/src/main/java/org/carawaysill/model/document/DurationFormat.java
@@ -6,7 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A duration with its unit, such as {@code 250ms}, {@code 2s}, {@code 10m} or {@code 1h}. Immutable and thread safe.
+ * The format of a duration with its unit, such as {@code 250ms}, {@code 2s}, {@code 10m} or {@code 1h}. Immutable and
+ * thread safe.
  *
  * @param minimum the least duration
  * @param maximum the greatest duration
--- a/model/src/main/java/org/carawaysill/model/document/Fault.java
+++ b/model/src/main/java/org/carawaysill/model/document/Fault.java
@@ -5,8 +5,8 @@
  *
  * <p>Immutable and thread safe.
  *
- * @param line the line, from 1; 0 where the fault is in the document as a whole
- * @param key the path of the key, such as {@code copies[0].slots}; empty where there is none
+ * @param line the line, from 1; 0 if the fault concerns the document as a whole
+ * @param key the path of the key, such as {@code copies[0].slots}; empty if there is none
  * @param message what is wrong and what is expected
  */
 public record Fault(int line, String key, String message) {
--- a/model/src/main/java/org/carawaysill/model/document/FaultCollector.java
+++ b/model/src/main/java/org/carawaysill/model/document/FaultCollector.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Tells whether the document is faultless so far.
+     * Returns whether no fault has been found so far.
      *
      * @return true if no fault was added
      */
@@ -45,7 +45,7 @@
     /**
      * Lists the faults.
      *
-     * @return every fault in the order of lines, those of one line in the order in which they were found
+     * @return every fault, ordered by line; faults of the same line are in the order in which they were found
      */
     public List<Fault> inOrder() {
         return faults.stream().sorted(Comparator.comparingInt(Fault::line)).toList();
--- a/model/src/main/java/org/carawaysill/model/document/KeyLines.java
+++ b/model/src/main/java/org/carawaysill/model/document/KeyLines.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * The line of a value and, below it, the lines of its fields or elements: a tree beside that of the values.
+ * The line of a value and the lines of its fields or elements: a tree parallel to that of the values.
  *
- * <p>Not thread safe: {@link KeyLocator} fills it, then the readers of the same document only read it.
+ * <p>Not thread safe: {@link KeyLocator} fills it; afterwards it is only read.
  */
 final class KeyLines {
 
@@ -30,18 +30,18 @@
         return line;
     }
 
-    /** Gives the lines of a field; those of an unlocated one are all that of the table around it. */
+    /** Returns the lines of a field; a field that was not located has the line of its table. */
     KeyLines field(String key) {
         KeyLines field = fields.get(key);
         return field == null ? new KeyLines(line) : field;
     }
 
-    /** Gives the lines of an element; those of an unlocated one are all that of the array around it. */
+    /** Returns the lines of an element; an element that was not located has the line of its array. */
     KeyLines element(int index) {
         return index < elements.size() ? elements.get(index) : new KeyLines(line);
     }
 
-    /** Adds a field; where it was added before, the first line counts. */
+    /** Adds a field; if it was added before, it keeps its first line. */
     KeyLines addField(String key, int fieldLine) {
         return fields.computeIfAbsent(key, added -> new KeyLines(fieldLine));
     }
@@ -52,7 +52,9 @@
         return element;
     }
 
-    /** Gives the element that a header below an array of tables means, or this where there are none. */
+    /**
+     * Returns the last element, to which a header below an array of tables refers, or this if there are no elements.
+     */
     KeyLines newestElement() {
         return elements.isEmpty() ? this : elements.getLast();
     }
--- a/model/src/main/java/org/carawaysill/model/document/KeyLocator.java
+++ b/model/src/main/java/org/carawaysill/model/document/KeyLocator.java
@@ -6,11 +6,12 @@
 /**
  * Finds the line of each key of a TOML document that Jackson has accepted.
  *
- * <p>Jackson's TOML parser builds its whole tree before it hands out a token and keeps no locations, so the lines are
- * found by a second pass that reads only keys and skips values. A key that this pass doesn't recognise (one written with
- * escapes) gets the line of the table around it; nothing but line numbers depends on this class.
+ * <p>Jackson's TOML parser builds its whole tree before it returns a token and keeps no locations, so a second pass
+ * that reads only keys and skips values finds the lines. A key that this pass does not recognise (one written with
+ * escapes) gets the line of the surrounding table; only line numbers depend on this class.
  *
- * <p>Invariant: the position only rises, so that the pass ends. Not thread safe: one instance reads one document.
+ * <p>Invariant: the position only increases, so that the pass terminates. Not thread safe: one instance reads one
+ * document.
  */
 final class KeyLocator {
 
@@ -38,9 +39,9 @@
     }
 
     /**
-     * Finds the field with which a text ends.
+     * Finds the last field of a text.
      *
-     * @param text a text that was valid TOML up to its end
+     * @param text a text that is valid TOML up to its end
      * @return the field's key as written, with its line
      */
     static Located<String> lastField(String text) {
--- a/model/src/main/java/org/carawaysill/model/document/KeyPath.java
+++ b/model/src/main/java/org/carawaysill/model/document/KeyPath.java
@@ -1,6 +1,6 @@
 package org.carawaysill.model.document;
 
-/** Writes the paths of keys, such as {@code copies[0].slots}. Stateless and thread safe. */
+/** Builds the paths of keys, such as {@code copies[0].slots}. Stateless and thread safe. */
 final class KeyPath {
 
     /** The path of the document itself. */
--- a/model/src/main/java/org/carawaysill/model/document/Located.java
+++ b/model/src/main/java/org/carawaysill/model/document/Located.java
@@ -1,7 +1,7 @@
 package org.carawaysill.model.document;
 
 /**
- * A value and where its document states it.
+ * A value with its location in a document.
  *
  * <p>Immutable and thread safe.
  *
--- a/model/src/main/java/org/carawaysill/model/document/LocatedNode.java
+++ b/model/src/main/java/org/carawaysill/model/document/LocatedNode.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * A value as Jackson read it, with its place in the document.
+ * A value as parsed by Jackson, with its location in the document.
  *
- * <p>Not changed once the document is read.
+ * <p>Not modified after the document has been read.
  *
  * @param node the value
  * @param lines its lines
@@ -29,7 +29,7 @@
         return elements;
     }
 
-    /** Writes the value for a fault, shortened, so that a fault stays one line. */
+    /** Returns the value as text for a fault message, truncated so that the message stays on one line. */
     String written() {
         String text = node.toString();
         return text.length() <= MAXIMUM_WRITTEN ? text : text.substring(0, MAXIMUM_WRITTEN) + "...";
--- a/model/src/main/java/org/carawaysill/model/document/NameFormat.java
+++ b/model/src/main/java/org/carawaysill/model/document/NameFormat.java
@@ -4,9 +4,10 @@
 import java.util.regex.Pattern;
 
 /**
- * A name that may stand in a URL, a header and a metric's label without quoting. Immutable and thread safe.
+ * The format of a name that can be used in a URL, a header and a metric label without quoting. Immutable and thread
+ * safe.
  *
- * @param constructor makes the typed name
+ * @param constructor creates the typed name
  * @param <T> the type of the name
  */
 public record NameFormat<T>(Function<String, T> constructor) implements TextFormat<T> {
--- a/model/src/main/java/org/carawaysill/model/document/TableReader.java
+++ b/model/src/main/java/org/carawaysill/model/document/TableReader.java
@@ -12,10 +12,10 @@
 import java.util.TreeSet;
 
 /**
- * Reads the fields of one table and collects what is wrong with them.
+ * Reads the fields of one table and collects their faults.
  *
- * <p>A field that is absent or faulty is read as empty; the fault is in the collector, and reading goes on. Invariant:
- * after {@link #reportUnknownKeys()} each key of the table was asked for or is reported. Not thread safe.
+ * <p>An absent or faulty field is read as empty; its fault is added to the collector, and reading continues. Invariant:
+ * after {@link #reportUnknownKeys()} each key of the table has been requested or reported. Not thread safe.
  */
 public final class TableReader {
 
@@ -48,34 +48,34 @@
     }
 
     /**
-     * Tells whether a field is there.
+     * Returns whether a field exists.
      *
      * @param key the field's key
-     * @return true if it is, faulty or not
+     * @return true if it exists, faulty or not
      */
     public boolean has(String key) {
         return table.node().has(key);
     }
 
     /**
-     * Reads a text of a format.
+     * Reads a string in a given format.
      *
      * @param key the field's key
      * @param format the format
      * @param <T> the type of the value
-     * @return the value, if the field is there and is of the format
+     * @return the value, if the field exists and has the format
      */
     public <T> Optional<Located<T>> value(String key, TextFormat<T> format) {
         return field(key).flatMap(field -> formatted(field, format));
     }
 
     /**
-     * Reads a text of a format that must be there.
+     * Reads a required string in a given format.
      *
      * @param key the field's key
      * @param format the format
      * @param <T> the type of the value
-     * @return the value, if the field is there and is of the format
+     * @return the value, if the field exists and has the format
      */
     public <T> Optional<Located<T>> requiredValue(String key, TextFormat<T> format) {
         reportIfMissing(key);
@@ -83,12 +83,12 @@
     }
 
     /**
-     * Reads a list of texts of a format.
+     * Reads a list of strings in a given format.
      *
      * @param key the field's key
      * @param format the format
      * @param <T> the type of the values
-     * @return the values that are of the format, in order; empty where the field is absent
+     * @return the values that have the format, in order; empty if the field is absent
      */
     public <T> List<Located<T>> values(String key, TextFormat<T> format) {
         List<Located<T>> values = new ArrayList<>();
@@ -104,7 +104,7 @@
      * @param key the field's key
      * @param minimum the least value
      * @param maximum the greatest value
-     * @return the number, if the field is there and in range
+     * @return the number, if the field exists and is in range
      */
     public Optional<Integer> wholeNumber(String key, int minimum, int maximum) {
         Optional<LocatedNode> field = field(key);
@@ -124,7 +124,7 @@
      * @param key the field's key
      * @param minimum the least value
      * @param maximum the greatest value
-     * @return the number, if the field is there and in range
+     * @return the number, if the field exists and is in range
      */
     public Optional<Double> number(String key, double minimum, double maximum) {
         Optional<LocatedNode> field = field(key);
@@ -139,10 +139,10 @@
     }
 
     /**
-     * Reads {@code true} or {@code false}.
+     * Reads a boolean.
      *
      * @param key the field's key
-     * @return the value, if the field is there and is one of the two
+     * @return the value, if the field exists and is a boolean
      */
     public Optional<Boolean> truth(String key) {
         Optional<LocatedNode> field = field(key);
@@ -155,10 +155,10 @@
     }
 
     /**
-     * Reads a table of texts.
+     * Reads a table of strings.
      *
      * @param key the field's key
-     * @return the texts by key, in order; empty where the field is absent
+     * @return the strings by key, in order; empty if the field is absent
      */
     public Map<String, Located<String>> textTable(String key) {
         Map<String, Located<String>> texts = new LinkedHashMap<>();
@@ -172,17 +172,17 @@
      * Reads a table.
      *
      * @param key the field's key
-     * @return its reader, if the field is there and is a table
+     * @return its reader, if the field exists and is a table
      */
     public Optional<TableReader> table(String key) {
         return field(key).flatMap(this::asTable);
     }
 
     /**
-     * Reads a table that must be there.
+     * Reads a required table.
      *
      * @param key the field's key
-     * @return its reader; one of an empty table where the field is absent or no table
+     * @return its reader, or a reader of an empty table if the field is absent or not a table
      */
     public TableReader requiredTable(String key) {
         return table(key).orElseGet(() -> emptyTable(table.field(key)));
@@ -192,8 +192,8 @@
      * Reads an array of tables.
      *
      * @param key the field's key
-     * @param maximum how many there may be
-     * @return a reader for each element that is a table; empty where the field is absent
+     * @param maximum the maximum number of elements
+     * @return a reader for each element that is a table; empty if the field is absent
      */
     public List<TableReader> tables(String key, int maximum) {
         List<LocatedNode> elements = elements(key, "expected tables, each headed [[" + key + "]]");
@@ -205,7 +205,7 @@
     }
 
     /**
-     * Reports a field that must be there and isn't.
+     * Reports a required field if it is missing.
      *
      * @param key the field's key
      */
@@ -215,7 +215,7 @@
         }
     }
 
-    /** Reports each key that was not asked for. */
+    /** Reports each key that was not requested. */
     public void reportUnknownKeys() {
         for (String key : keys()) {
             if (!knownKeys.contains(key)) {
--- a/model/src/main/java/org/carawaysill/model/document/TextCursor.java
+++ b/model/src/main/java/org/carawaysill/model/document/TextCursor.java
@@ -1,9 +1,9 @@
 package org.carawaysill.model.document;
 
 /**
- * A position in a text, with its line.
+ * A cursor in a text that tracks its line number.
  *
- * <p>Invariant: the position only rises and never passes the end. Not thread safe.
+ * <p>Invariant: the position only increases and never passes the end. Not thread safe.
  */
 final class TextCursor {
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Skips white space, line ends and comments. */
+    /** Skips white space, line breaks and comments. */
     void skipBlank() {
         while (!atEnd()) {
             if (peek() == '#') {
@@ -80,14 +80,14 @@
         }
     }
 
-    /** Skips what stands between two elements: blanks and a comma. */
+    /** Skips the separator between two elements: white space, comments and a comma. */
     void skipSeparator() {
         skipBlank();
         skipIf(',');
         skipBlank();
     }
 
-    /** Reads one part of a key, bare or quoted; always moves on. */
+    /** Reads one part of a key, bare or quoted; always advances. */
     String readKey() {
         char quote = peek();
         if (quote == '"' || quote == '\'') {
@@ -101,7 +101,7 @@
         return text.substring(start, position);
     }
 
-    /** Skips a string of any of the four forms that TOML has. */
+    /** Skips a string in any of the four forms of TOML. */
     void skipString() {
         char quote = peek();
         String fence = String.valueOf(quote).repeat(FENCE_LENGTH);
--- a/model/src/main/java/org/carawaysill/model/document/TextFormat.java
+++ b/model/src/main/java/org/carawaysill/model/document/TextFormat.java
@@ -1,7 +1,7 @@
 package org.carawaysill.model.document;
 
 /**
- * A format in which a text states a value. Implementations are stateless and thread safe.
+ * A format that parses a string to a value. Implementations are stateless and thread safe.
  *
  * @param <T> the type of the value
  */
@@ -9,11 +9,11 @@
 public interface TextFormat<T> {
 
     /**
-     * Reads a text.
+     * Parses a text.
      *
      * @param text the text
      * @return the value
-     * @throws IllegalArgumentException if the text is not of this format; its message tells what is expected
+     * @throws IllegalArgumentException if the text does not have this format; its message states what is expected
      */
     T parse(String text);
 }
--- a/model/src/main/java/org/carawaysill/model/document/TomlDocument.java
+++ b/model/src/main/java/org/carawaysill/model/document/TomlDocument.java
@@ -6,10 +6,10 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.util.Optional;
 
-/** Reads TOML text into tables that know their lines. Stateless and thread safe. */
+/** Parses TOML text into tables that know their line numbers. Stateless and thread safe. */
 public final class TomlDocument {
 
-    /** The longest text that is read, in characters: what one value of the platform's service can hold. */
+    /** The maximum length of a text in characters: the most that one value of the platform's service can hold. */
     public static final int MAXIMUM_LENGTH = 1 << 20;
 
     private static final String NOT_TOML = "not valid TOML: ";
@@ -19,11 +19,11 @@
     private TomlDocument() {}
 
     /**
-     * Reads a text.
+     * Parses a text.
      *
      * @param text the text
-     * @param faults receives the first fault of syntax, after which a text can't be read on
-     * @return the document's top-level table, or empty where a fault was added
+     * @param faults receives the first syntax error, after which a text can't be parsed further
+     * @return the document's top-level table, or empty if a fault was added
      */
     public static Optional<TableReader> read(String text, FaultCollector faults) {
         if (text.length() > MAXIMUM_LENGTH) {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Places a fault of syntax. Jackson notices a repeated key only after the blanks and comments that follow its value,
-     * at the next line that states something, so that the repeated key is the last field before that place.
+     * Locates a syntax error. Jackson detects a repeated key only after the blank lines and comments that follow its
+     * value, at the next line with content, so the repeated key is the last field before that location.
      */
     private static Fault syntaxFault(String text, JsonProcessingException failure) {
         JsonLocation location = failure.getLocation();
--- a/model/src/main/java/org/carawaysill/model/document/package-info.java
+++ b/model/src/main/java/org/carawaysill/model/document/package-info.java
@@ -1,4 +1,4 @@
-/** Reading of TOML documents as a whole: every fault is collected with its line and its key. */
+/** Parsing of TOML documents as a whole: every fault is collected with its line and its key. */
 @NullMarked
 package org.carawaysill.model.document;
 
--- a/model/src/main/java/org/carawaysill/model/error/CarawaysillException.java
+++ b/model/src/main/java/org/carawaysill/model/error/CarawaysillException.java
@@ -5,9 +5,9 @@
 import org.carawaysill.model.request.Step;
 
 /**
- * A failure that carries the step and the peer at which it arose; it usually completes a future exceptionally.
+ * A failure with the step and the peer at which it arose; usually the cause of an exceptionally completed future.
  *
- * <p>Immutable but for what {@link Throwable} itself keeps, and thread safe.
+ * <p>Immutable except for the state of {@link Throwable} itself; thread safe.
  */
 public final class CarawaysillException extends RuntimeException {
 
@@ -18,9 +18,9 @@
     private final transient Optional<NodeName> peer;
 
     /**
-     * Describes a failure without a cause.
+     * Creates a failure without a cause.
      *
-     * @param step where it arose
+     * @param step the step at which it arose
      * @param peer the other node, if one was involved
      * @param message what failed, in one line
      */
@@ -31,12 +31,12 @@
     }
 
     /**
-     * Describes a failure that another one caused.
+     * Creates a failure with a cause.
      *
-     * @param step where it arose
+     * @param step the step at which it arose
      * @param peer the other node, if one was involved
      * @param message what failed, in one line
-     * @param cause what caused it
+     * @param cause the cause
      */
     public CarawaysillException(Step step, Optional<NodeName> peer, String message, Throwable cause) {
         super(message, cause);
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Tells where the failure arose.
+     * Returns the step at which the failure arose.
      *
      * @return the step
      */
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Tells which other node was involved.
+     * Returns the other node that was involved.
      *
      * @return the node, if there was one
      */
--- a/model/src/main/java/org/carawaysill/model/error/package-info.java
+++ b/model/src/main/java/org/carawaysill/model/error/package-info.java
@@ -1,4 +1,4 @@
-/** The error that says at which step, and with which peer, it arose. */
+/** The exception type that states the step and the peer at which a failure arose. */
 @NullMarked
 package org.carawaysill.model.error;
 
--- a/model/src/main/java/org/carawaysill/model/fleet/Allowance.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Allowance.java
@@ -1,12 +1,12 @@
 package org.carawaysill.model.fleet;
 
 /**
- * How many requests an organisation may send to the whole fleet.
+ * The rate and burst of requests that an organisation may send to the whole fleet.
  *
  * <p>Invariants: the rate is positive, the burst is not negative, both are finite. Immutable and thread safe.
  *
- * @param perSecond requests a second
- * @param burst requests beyond that, at any one time
+ * @param perSecond the allowed rate, in requests per second
+ * @param burst the number of requests allowed in addition, at any time
  */
 public record Allowance(double perSecond, double burst) {
 
@@ -20,7 +20,7 @@
      * Returns how many requests are allowed within a window.
      *
      * @param seconds the length of the window
-     * @return requests
+     * @return the number of requests
      */
     public double within(double seconds) {
         return perSecond * seconds + burst;
--- a/model/src/main/java/org/carawaysill/model/fleet/CopyName.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/CopyName.java
@@ -1,8 +1,8 @@
 package org.carawaysill.model.fleet;
 
 /**
- * Names an upstream copy. A copy that starts again usually has another name; where it keeps its name, the time of its start
- * tells the two apart.
+ * The name of an upstream copy. A restarted copy usually has another name; if it keeps its name, the start time
+ * distinguishes the two.
  *
  * <p>Invariant: not blank. Immutable and thread safe.
  *
--- a/model/src/main/java/org/carawaysill/model/fleet/CopyRecord.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/CopyRecord.java
@@ -6,20 +6,20 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * One upstream copy as it is published.
+ * One upstream copy as published.
  *
- * <p>Invariant: at least one slot; of two records with one name, the one that started later is another start of the copy,
- * which knows nothing of the earlier one. Immutable and thread safe.
+ * <p>Invariant: at least one slot. Of two records with the same name, the one with the later start is a restart of the
+ * copy, which has no state of the earlier process. Immutable and thread safe.
  *
  * @param copy the name under which it is published
- * @param startedAtMillis when it started, in milliseconds of wall-clock time since 1970; 0 where it doesn't say
- * @param sequence how often it has written of itself since then; 0 where it doesn't say
+ * @param startedAtMillis its start, in milliseconds of wall-clock time since 1970; 0 if not stated
+ * @param sequence how often it has written its own record since then; 0 if not stated
  * @param service the service that it belongs to
- * @param address where it listens; its VM's IP number is also that of the node beside it
- * @param zone where its VM stands
- * @param slots how many requests it works on at a time
- * @param draining whether it announced that it leaves
- * @param warmUpLeft how much longer it stays slow after its start, when this was published
+ * @param address the address at which it listens; the IP address of its VM is also that of the node beside it
+ * @param zone the availability zone of its VM
+ * @param slots how many requests it runs at a time
+ * @param draining whether it has announced that it will stop
+ * @param warmUpLeft the remaining time for which it is slow after its start, as of the publication
  */
 public record CopyRecord(
         CopyName copy,
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Returns the place of this record in the order in which the copy wrote of itself.
+     * Returns the position of this record in the order in which the copy wrote its records.
      *
      * @return the version
      */
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Returns whether two records speak of the same process.
+     * Returns whether two records describe the same process.
      *
      * @param other the other record
      * @return whether name and start are the same
--- a/model/src/main/java/org/carawaysill/model/fleet/Destination.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Destination.java
@@ -3,12 +3,12 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * A service to which a route sends a part of its requests.
+ * A service to which a route sends a share of its requests.
  *
  * <p>Invariant: the weight is not negative. Immutable and thread safe.
  *
  * @param service the service
- * @param weight its part, in relation to the weights of the route's other destinations
+ * @param weight its share, relative to the weights of the route's other destinations
  */
 public record Destination(ServiceName service, int weight) {
 
--- a/model/src/main/java/org/carawaysill/model/fleet/FleetConfiguration.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/FleetConfiguration.java
@@ -6,15 +6,16 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * The operators' configuration of a whole fleet, in one version.
+ * One version of the operators' configuration of a whole fleet.
  *
  * <p>Immutable and thread safe.
  *
- * @param version rises with each publication
- * @param limits what clients may send
- * @param services all services that it names; a copy of any other one gets no work
+ * @param version the version number, which increases with each publication
+ * @param limits the limits on what clients send
+ * @param services all configured services; copies of other services get no requests
  * @param routes all routes
- * @param organisations who may send requests on routes that require a key; empty where no keys are checked
+ * @param organisations the organisations that may send requests on routes that require a key; empty if keys are not
+ *     checked
  */
 public record FleetConfiguration(
         long version,
--- a/model/src/main/java/org/carawaysill/model/fleet/KnownEntry.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/KnownEntry.java
@@ -3,22 +3,23 @@
 import java.util.Optional;
 
 /**
- * One published entry as a node knows it and tells it to others.
+ * One published entry as a node knows it and sends it to other nodes.
  *
  * <p>Immutable and thread safe.
  *
- * @param key what the entry is about
- * @param revision when it was written last, or the point as of which it is known to hold
- * @param version its place in the order of its writer
- * @param text its value; empty where it was removed
+ * @param key the key of the entry
+ * @param revision the revision of its last write, or the revision as of which it is known to be valid
+ * @param version its version in the order of its writer
+ * @param text its value; empty if it was removed
  */
 public record KnownEntry(String key, Revision revision, EntryVersion version, Optional<String> text) {
 
     /**
-     * Returns whether this form of an entry replaces another one, whoever told them and in whichever order.
+     * Returns whether this state of an entry replaces another one, independent of their sources and the order of their
+     * arrival.
      *
-     * @param known the other form, of the same key
-     * @return by revision within an era, by the order of its writer across eras
+     * @param known the other state, of the same key
+     * @return whether it is newer: by revision within an era, by the order of its writer across eras
      */
     public boolean supersedes(KnownEntry known) {
         boolean comparable = revision.isSameEra(known.revision) && revision.number() != known.revision.number();
@@ -26,20 +27,20 @@
     }
 
     /**
-     * Returns the entry as one that is there although it was known to be removed.
+     * Returns the entry as present although it was known to be removed.
      *
-     * @param at as of which it is there
-     * @param known the version that was known
-     * @return the entry as if it had been written once more behind that version
+     * @param at the revision as of which it is present
+     * @param known the known version of the removal
+     * @return the entry as if it had been written once more after that version
      */
     public KnownEntry restored(Revision at, EntryVersion known) {
         return new KnownEntry(key, at, new EntryVersion(known.start(), known.write() + 1, version.stage()), text);
     }
 
     /**
-     * Returns the entry as known to hold at a later point.
+     * Returns the entry as known to be valid at a later revision.
      *
-     * @param later the point
+     * @param later the later revision
      * @return the same entry at that revision
      */
     public KnownEntry asOf(Revision later) {
@@ -49,8 +50,8 @@
     /**
      * Returns the entry's removal.
      *
-     * @param at as of which it was removed
-     * @return the removal of this form of the entry
+     * @param at the revision as of which it was removed
+     * @return the removal of this state of the entry
      */
     public KnownEntry removed(Revision at) {
         return new KnownEntry(key, at, version.removed(), Optional.empty());
--- a/model/src/main/java/org/carawaysill/model/fleet/Organisation.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Organisation.java
@@ -11,13 +11,13 @@
  * <p>Immutable and thread safe.
  *
  * @param name the operators' name for it
- * @param keys the digests of the keys that it may use now
- * @param rank the place in the order of refusal, ahead of that of routes; 0 is refused last
- * @param allowance how much it may send; empty where that is not limited
+ * @param keys the digests of its currently valid keys
+ * @param rank the rank in the order of refusal, which takes precedence over that of routes; 0 is refused last
+ * @param allowance the limit on its requests; empty if there is none
  */
 public record Organisation(OrganisationName name, Set<KeyDigest> keys, int rank, Optional<Allowance> allowance) {
 
-    /** The greatest rank; published ranks beyond it count as this one. */
+    /** The greatest rank; greater published ranks count as this one. */
     public static final int MAX_RANK = 2000;
 
     public Organisation {
--- a/model/src/main/java/org/carawaysill/model/fleet/Organisations.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Organisations.java
@@ -10,7 +10,7 @@
 import org.carawaysill.model.identity.OrganisationName;
 
 /**
- * The organisations of one configuration, by key.
+ * The organisations of one configuration, indexed by key.
  *
  * <p>Invariants: names differ; no two organisations hold the same key. Immutable and thread safe.
  */
@@ -19,7 +19,7 @@
     private final Map<KeyDigest, Organisation> byKey = new HashMap<>();
 
     /**
-     * Indexes organisations.
+     * Creates the index.
      *
      * @param organisations the organisations
      * @throws IllegalArgumentException if two have the same name, or the same key
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Finds who holds a key.
+     * Finds the organisation that holds a key.
      *
      * @param key the key's digest
-     * @return the organisation, empty where none holds it
+     * @return the organisation, or empty if none holds it
      */
     public Optional<Organisation> holderOf(KeyDigest key) {
         return Optional.ofNullable(byKey.get(key));
--- a/model/src/main/java/org/carawaysill/model/fleet/PublishedEntry.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/PublishedEntry.java
@@ -3,13 +3,14 @@
 import java.util.Optional;
 
 /**
- * One entry of what the platform publishes, as text that only its decoder understands.
+ * One entry published by the platform, as text in a form that only its decoder knows.
  *
- * <p>Invariant: of two entries with one key and of one era, the one with the greater revision is the newer. Immutable and
+ * <p>Invariant: of two entries with the same key and era, the one with the greater revision is newer. Immutable and
  * thread safe.
  *
- * @param key what the entry is about
- * @param revision when it changed last, in the platform's own count and the era of the answer that gave it
- * @param text its value; empty where it was removed
+ * @param key the key of the entry
+ * @param revision the revision number of its last change, counted by the platform within the era of the answer that
+ *     contained it
+ * @param text its value; empty if it was removed
  */
 public record PublishedEntry(String key, long revision, Optional<String> text) {}
--- a/model/src/main/java/org/carawaysill/model/fleet/Revision.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Revision.java
@@ -3,21 +3,21 @@
 import java.util.Comparator;
 
 /**
- * A point in one of the platform's histories.
+ * A point in one of the platform's histories of writes.
  *
- * <p>Invariant: within one era, of two writes the one with the greater number came later. Numbers of different eras say
- * nothing of each other: the platform came back from an older copy between them, and gave some of its numbers out again. Their
- * order by era only serves to choose a newest one. Immutable and thread safe.
+ * <p>Invariant: within one era, of two writes the one with the greater number came later. Numbers of different eras are
+ * not comparable: the platform was restored to an older state between them and assigned some of its numbers again.
+ * The order by era only serves to select a newest revision. Immutable and thread safe.
  *
- * @param era which history, from 0 on, or {@link #UNKNOWN_ERA}
- * @param number the platform's own count, from 0 on
+ * @param era the number of the history, from 0, or {@link #UNKNOWN_ERA}
+ * @param number the platform's own count of writes, from 0
  */
 public record Revision(long era, long number) implements Comparable<Revision> {
 
-    /** The era of answers that don't tell theirs: nothing is known to be of the same history. */
+    /** The era of answers that don't state theirs; such a revision is comparable with no other one. */
     public static final long UNKNOWN_ERA = -1;
 
-    /** Before everything. */
+    /** Before every write. */
     public static final Revision NONE = new Revision(0, 0);
 
     private static final Comparator<Revision> ORDER =
@@ -30,19 +30,19 @@
     }
 
     /**
-     * Returns whether two numbers can be compared.
+     * Returns whether the numbers of two revisions can be compared.
      *
-     * @param other the other point
-     * @return whether both belong to one history
+     * @param other the other revision
+     * @return whether both belong to the same known history
      */
     public boolean isSameEra(Revision other) {
         return era == other.era && era != UNKNOWN_ERA;
     }
 
     /**
-     * Returns whether this point is known to come after another one.
+     * Returns whether this revision is known to be later than another one.
      *
-     * @param other the other point
+     * @param other the other revision
      * @return whether it is later in the same history
      */
     public boolean isAfter(Revision other) {
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Returns the one of the later era, and of one era the later one.
+     * Returns the revision of the later era, or the later one if the eras are equal.
      *
-     * @param other the other point
+     * @param other the other revision
      * @return this or the other
      */
     public Revision newest(Revision other) {
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Returns the first point after this one.
+     * Returns the revision after this one.
      *
      * @return the next number of the same era
      */
--- a/model/src/main/java/org/carawaysill/model/fleet/Route.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Route.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * Where requests of one host and path prefix go, and under which terms.
+ * The destinations of requests with one host and path prefix, and the terms that apply to them.
  *
  * <p>Invariants: at least one destination with a positive weight; at least one attempt; the prefix begins and ends with a
  * slash. Immutable and thread safe.
  *
  * @param name the operators' name for it
- * @param host the host that requests name
- * @param prefix what their paths begin with
- * @param destinations the services that share its requests
- * @param idempotent whether running a request twice does no harm
- * @param timeout how long a client may be kept waiting
- * @param maximumAttempts to how many copies one request may be handed
- * @param aim the time within which an answer is worth most to the caller
- * @param rank the place in the order of refusal; 0 is refused last
- * @param keyRequired whether only requests with an organisation's key are taken, where keys are checked
+ * @param host the host of the requests
+ * @param prefix the prefix of their paths
+ * @param destinations the services among which its requests are split
+ * @param idempotent whether its requests may safely run twice
+ * @param timeout the maximum time a client waits for an answer
+ * @param maximumAttempts the maximum number of copies to which one request may be sent
+ * @param aim the target latency, within which an answer is worth most to the caller
+ * @param rank the rank in the order of refusal; 0 is refused last
+ * @param keyRequired whether requests need an organisation's key, where keys are checked
  */
 public record Route(
         String name,
--- a/model/src/main/java/org/carawaysill/model/fleet/package-info.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** What operators and the platform publish for a whole fleet: routes, limits of clients, and upstream copies. */
+/** The data that operators and the platform publish for a whole fleet: routes, client limits and upstream copies. */
 @NullMarked
 package org.carawaysill.model.fleet;
 
--- a/model/src/main/java/org/carawaysill/model/identity/AttemptIdentifier.java
+++ b/model/src/main/java/org/carawaysill/model/identity/AttemptIdentifier.java
@@ -3,7 +3,8 @@
 import java.util.HexFormat;
 
 /**
- * Identifies one attempt at one hop; every answer echoes it, so that a late answer finds only its own attempt.
+ * Identifies one attempt at one hop; every answer repeats it, so that a late answer is assigned only to its own
+ * attempt.
  *
  * <p>128 bits. Immutable and thread safe.
  *
@@ -16,11 +17,11 @@
     private static final int HALF = 16;
 
     /**
-     * Reads the form that {@link #toString()} writes.
+     * Parses the form that {@link #toString()} returns.
      *
      * @param text 32 hexadecimal digits
      * @return the identifier
-     * @throws IllegalArgumentException if the text is anything else
+     * @throws IllegalArgumentException if the text has another form
      */
     public static AttemptIdentifier parse(String text) {
         if (text.length() != TEXT_LENGTH) {
--- a/model/src/main/java/org/carawaysill/model/identity/ExchangeIdentifier.java
+++ b/model/src/main/java/org/carawaysill/model/identity/ExchangeIdentifier.java
@@ -3,7 +3,7 @@
 import java.util.HexFormat;
 
 /**
- * Identifies one HTTP exchange that this process has open with a caller or with its local copy.
+ * Identifies one open HTTP exchange of this process with a caller or with its local copy.
  *
  * <p>128 bits. Immutable and thread safe.
  *
@@ -16,11 +16,11 @@
     private static final int HALF = 16;
 
     /**
-     * Reads the form that {@link #toString()} writes.
+     * Parses the form that {@link #toString()} returns.
      *
      * @param text 32 hexadecimal digits
      * @return the identifier
-     * @throws IllegalArgumentException if the text is anything else
+     * @throws IllegalArgumentException if the text has another form
      */
     public static ExchangeIdentifier parse(String text) {
         if (text.length() != TEXT_LENGTH) {
--- a/model/src/main/java/org/carawaysill/model/identity/KeyDigest.java
+++ b/model/src/main/java/org/carawaysill/model/identity/KeyDigest.java
@@ -7,8 +7,9 @@
 /**
  * The SHA-256 digest of an organisation's key.
  *
- * <p>Only digests of keys are kept and compared, so that neither a dump of the memory nor the time of a comparison tells
- * anything of a key. Invariant: never shows a part of the key or of the digest as text. Immutable and thread safe.
+ * <p>Only digests of keys are stored and compared, so that neither a memory dump nor the duration of a comparison
+ * reveals anything about a key. Invariant: its text form contains no part of the key or the digest. Immutable and
+ * thread safe.
  */
 public final class KeyDigest {
 
@@ -21,7 +22,7 @@
     }
 
     /**
-     * Digests a key.
+     * Computes the digest of a key.
      *
      * @param key the bytes of the key
      * @return its digest
--- a/model/src/main/java/org/carawaysill/model/identity/NetworkAddress.java
+++ b/model/src/main/java/org/carawaysill/model/identity/NetworkAddress.java
@@ -1,11 +1,12 @@
 package org.carawaysill.model.identity;
 
 /**
- * An IP number and a port.
+ * An IP address and a port.
  *
- * <p>Invariant: the port is 0 to {@link #MAXIMUM_PORT}; 0 means a free port, to listen at. Immutable and thread safe.
+ * <p>Invariant: the port is 0 to {@link #MAXIMUM_PORT}; 0 stands for any free port, for listening. Immutable and thread
+ * safe.
  *
- * @param host the IP number, without brackets
+ * @param host the IP address, without brackets
  * @param port the port
  */
 public record NetworkAddress(String host, int port) {
--- a/model/src/main/java/org/carawaysill/model/identity/RequestIdentifier.java
+++ b/model/src/main/java/org/carawaysill/model/identity/RequestIdentifier.java
@@ -3,7 +3,7 @@
 import java.util.HexFormat;
 
 /**
- * Identifies one caller's request over all its attempts and all hops of the chain.
+ * Identifies one caller's request across all its attempts and all hops of the chain.
  *
  * <p>128 bits. Immutable and thread safe.
  *
@@ -16,11 +16,11 @@
     private static final int HALF = 16;
 
     /**
-     * Reads the form that {@link #toString()} writes.
+     * Parses the form that {@link #toString()} returns.
      *
      * @param text 32 hexadecimal digits
      * @return the identifier
-     * @throws IllegalArgumentException if the text is anything else
+     * @throws IllegalArgumentException if the text has another form
      */
     public static RequestIdentifier parse(String text) {
         if (text.length() != TEXT_LENGTH) {
--- a/model/src/main/java/org/carawaysill/model/request/AnswerContent.java
+++ b/model/src/main/java/org/carawaysill/model/request/AnswerContent.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * An HTTP answer of an upstream copy, complete.
+ * A complete HTTP answer of an upstream copy.
  *
  * <p>Immutable and thread safe.
  *
--- a/model/src/main/java/org/carawaysill/model/request/Body.java
+++ b/model/src/main/java/org/carawaysill/model/request/Body.java
@@ -6,7 +6,7 @@
 /**
  * The bytes of a request or an answer.
  *
- * <p>Invariant: the bytes never change; the array given is owned by this object from then on. Immutable and thread safe.
+ * <p>Invariant: the bytes never change; the body owns the array passed to it. Immutable and thread safe.
  */
 public final class Body {
 
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Wraps bytes without a copy.
+     * Wraps bytes without copying them.
      *
-     * @param bytes the bytes, which the caller must not change afterwards
+     * @param bytes the bytes, which the caller must not modify afterwards
      * @return the body
      */
     public static Body wrap(byte[] bytes) {
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Gives the bytes themselves, to be read only.
+     * Returns the bytes themselves, which must not be modified.
      *
      * @return the bytes, not a copy
      */
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Tells the length.
+     * Returns the length.
      *
      * @return the number of bytes
      */
--- a/model/src/main/java/org/carawaysill/model/request/ConfigurationCount.java
+++ b/model/src/main/java/org/carawaysill/model/request/ConfigurationCount.java
@@ -1,7 +1,7 @@
 package org.carawaysill.model.request;
 
 /**
- * What happens to a published configuration on its way into force; each has its own counter.
+ * Events in the processing of a published configuration; each has its own counter.
  *
  * <p>Immutable and thread safe.
  */
@@ -10,15 +10,15 @@
     READ,
     /** A read or a watch failed. */
     READ_FAILED,
-    /** The platform gave an older version than this node holds. */
+    /** The platform returned an older version than this node holds. */
     STALE_READ,
-    /** The platform came back from an older copy: it gives its revisions out again. */
+    /** The platform was restored to an older state, so that it assigns revisions again. */
     ERA_CHANGED,
-    /** The platform's answer did not tell whether it came back from an older copy. */
+    /** The platform's answer did not state whether the platform was restored to an older state. */
     ERA_UNREADABLE,
-    /** A document failed the checks. */
+    /** A document failed validation. */
     REFUSED,
-    /** A change from another node didn't apply to the text that this node holds. */
+    /** A change from another node could not be applied to the text that this node holds. */
     BAD_CHANGE,
     /** A newer version came into force. */
     ADOPTED;
--- a/model/src/main/java/org/carawaysill/model/request/Counted.java
+++ b/model/src/main/java/org/carawaysill/model/request/Counted.java
@@ -2,26 +2,26 @@
 
 import java.util.Locale;
 
-/** Something of which a node counts the occurrences, one counter family per kind. Immutable and thread safe. */
+/** A kind of event that a node counts; each kind has its own family of counters. Immutable and thread safe. */
 public sealed interface Counted
         permits RefusalReason, UnknownReason, RetryReason, Invariant, ConfigurationCount, CrashCount {
 
     /**
-     * Names the family of counters.
+     * Returns the name of the family of counters.
      *
      * @return a lower-case word
      */
     String family();
 
     /**
-     * Names the constant.
+     * Returns the name of the constant.
      *
      * @return the constant's name
      */
     String name();
 
     /**
-     * Gives the value of the metric's label.
+     * Returns the value of the metric's label.
      *
      * @return the constant's name in lower case
      */
--- a/model/src/main/java/org/carawaysill/model/request/CrashCount.java
+++ b/model/src/main/java/org/carawaysill/model/request/CrashCount.java
@@ -1,20 +1,20 @@
 package org.carawaysill.model.request;
 
 /**
- * What a node noticed of copies that crashed; each has its own counter.
+ * Events around crashed copies; each has its own counter.
  *
  * <p>Immutable and thread safe.
  */
 public enum CrashCount implements Counted {
-    /** The copy beside this node ended with requests at it, and without a planned stop. */
+    /** The process of the local copy ended with requests in flight and without a planned stop. */
     COPY_CRASHED,
     /** A request is suspected to have crashed the local copy. */
     SUSPECTED,
-    /** A request was found to be the cause of crashes of the local copy, and before it of others. */
+    /** A request was identified as the cause of crashes of the local copy, and of other copies before. */
     QUARANTINED,
-    /** A suspected request was answered by the local copy. */
+    /** The local copy answered a suspected request. */
     CLEARED,
-    /** A suspected request was forgotten. */
+    /** The state of a suspected request was dropped. */
     FORGOTTEN;
 
     @Override
--- a/model/src/main/java/org/carawaysill/model/request/Credential.java
+++ b/model/src/main/java/org/carawaysill/model/request/Credential.java
@@ -5,17 +5,17 @@
 import org.carawaysill.model.identity.KeyDigest;
 
 /**
- * What a request presents to show which organisation it belongs to.
+ * The credential with which a request proves its organisation.
  *
- * <p>Invariant: its text form shows neither keys nor fields. Immutable and thread safe.
+ * <p>Invariant: its text form contains neither keys nor header fields. Immutable and thread safe.
  *
- * @param fields the header fields that carry it, for a fleet that checks no keys and passes them on; empty where the request
- *     presents nothing
- * @param key the digest of the one key in them; empty where they hold none, or more than one
+ * @param fields the header fields that contain it, forwarded by a fleet that does not check keys; empty if the request
+ *     has none
+ * @param key the digest of the only key in the fields; empty if they contain none or more than one
  */
 public record Credential(List<Header> fields, Optional<KeyDigest> key) {
 
-    /** Nothing is presented. */
+    /** No credential. */
     public static final Credential NONE = new Credential(List.of(), Optional.empty());
 
     public Credential {
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Returns whether anything is presented, readable or not.
+     * Returns whether the request has a credential, readable or not.
      *
-     * @return whether it is
+     * @return whether it has
      */
     public boolean isPresented() {
         return !fields.isEmpty();
--- a/model/src/main/java/org/carawaysill/model/request/Fingerprint.java
+++ b/model/src/main/java/org/carawaysill/model/request/Fingerprint.java
@@ -3,16 +3,17 @@
 import java.util.Comparator;
 
 /**
- * What is the same in all tries of one request, whichever node they come through and whatever they are named.
+ * A hash that is the same for all attempts of one request, independent of the node that handles them and of their
+ * identifiers.
  *
  * <p>Immutable and thread safe.
  *
- * @param high the first half of its bits
- * @param low the second half of its bits
+ * @param high the upper 64 bits
+ * @param low the lower 64 bits
  */
 public record Fingerprint(long high, long low) {
 
-    /** An order that is the same everywhere. */
+    /** An order that is the same on all nodes. */
     public static final Comparator<Fingerprint> ORDER =
             Comparator.comparingLong(Fingerprint::high).thenComparingLong(Fingerprint::low);
 
--- a/model/src/main/java/org/carawaysill/model/request/Importance.java
+++ b/model/src/main/java/org/carawaysill/model/request/Importance.java
@@ -1,16 +1,16 @@
 package org.carawaysill.model.request;
 
 /**
- * How much a request matters to the operators; the order of the constants is the order of refusal.
+ * The importance of a request to the operators; the order of the constants is the order of refusal.
  *
  * <p>Immutable and thread safe.
  */
 public enum Importance {
-    /** Refused first; also what a call without a known request gets. */
+    /** Refused first; also used for a call without a known request. */
     BACKGROUND,
-    /** Everyday traffic. */
+    /** Normal traffic. */
     ORDINARY,
-    /** Traffic that ordinary requests give way to. */
+    /** Traffic that takes precedence over ordinary requests. */
     IMPORTANT,
     /** Refused last. */
     CRITICAL
--- a/model/src/main/java/org/carawaysill/model/request/Priority.java
+++ b/model/src/main/java/org/carawaysill/model/request/Priority.java
@@ -3,17 +3,17 @@
 import org.carawaysill.model.identity.CallerName;
 
 /**
- * The place of a request in the order of refusal: its importance, then a hash of its caller.
+ * The priority of a request in the order of refusal: its importance, then a hash of its caller.
  *
- * <p>The hash splits one importance evenly by caller, so that an overload refuses some callers fully instead of all
- * callers partly, and a caller's requests are refused or admitted alike on every node. Invariant: 0 to {@link #MAXIMUM},
- * greater is refused later. Immutable and thread safe.
+ * <p>The hash divides the requests of one importance evenly by caller, so that an overloaded service refuses all
+ * requests of some callers instead of some requests of all callers, and all nodes refuse or admit the requests of a
+ * caller alike. Invariant: 0 to {@link #MAXIMUM}; greater priorities are refused later. Immutable and thread safe.
  *
- * @param level the place, 0 to {@link #MAXIMUM}
+ * @param level the level, 0 to {@link #MAXIMUM}
  */
 public record Priority(int level) implements Comparable<Priority> {
 
-    /** How many levels one importance has. */
+    /** The number of levels of one importance. */
     public static final int LEVELS_PER_IMPORTANCE = 128;
 
     /** The greatest level. */
@@ -26,11 +26,11 @@
     }
 
     /**
-     * Places a request.
+     * Computes the priority of a request.
      *
      * @param importance the importance of the request
-     * @param caller who asks
-     * @return the place in the order of refusal
+     * @param caller the caller
+     * @return the priority
      */
     public static Priority of(Importance importance, CallerName caller) {
         int spread = caller.value().hashCode() * 0x9E3779B1;
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Tells the importance that this place belongs to.
+     * Returns the importance to which this priority belongs.
      *
      * @return the importance
      */
--- a/model/src/main/java/org/carawaysill/model/request/RequestContent.java
+++ b/model/src/main/java/org/carawaysill/model/request/RequestContent.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * An HTTP request as far as the upstream copies see it.
+ * The part of an HTTP request that the upstream copies see.
  *
  * <p>Immutable and thread safe.
  *
@@ -21,10 +21,10 @@
     }
 
     /**
-     * Adds header fields.
+     * Returns this request with additional header fields.
      *
      * @param added the fields
-     * @return the request with them
+     * @return the request with the fields added
      */
     public RequestContent withHeaders(List<Header> added) {
         if (added.isEmpty()) {
--- a/model/src/main/java/org/carawaysill/model/request/RetryReason.java
+++ b/model/src/main/java/org/carawaysill/model/request/RetryReason.java
@@ -1,14 +1,14 @@
 package org.carawaysill.model.request;
 
 /**
- * Why a node tried a request again; each has its own counter.
+ * The reasons why a node retried a request; each has its own counter.
  *
  * <p>Immutable and thread safe.
  */
 public enum RetryReason implements Counted {
-    /** The first choice refused without running it. */
+    /** The first target refused the request without running it. */
     NOT_RUN,
-    /** The first choice could not be reached. */
+    /** The first target could not be reached. */
     UNREACHABLE,
     /** The answer was lost, and the request is idempotent. */
     ANSWER_LOST,
--- a/model/src/main/java/org/carawaysill/model/request/Step.java
+++ b/model/src/main/java/org/carawaysill/model/request/Step.java
@@ -1,20 +1,20 @@
 package org.carawaysill.model.request;
 
 /**
- * The step of a request, or of the control work, at which an error arose.
+ * The step in the processing of a request, or of control work, at which an error arose.
  *
  * <p>Immutable and thread safe.
  */
 public enum Step {
     /** Reading the caller's request. */
     INGRESS,
-    /** Deciding whether to take the request in. */
+    /** Deciding whether to admit the request. */
     ADMISSION,
     /** Waiting for a slot of the local copy. */
     QUEUE,
     /** Choosing the node of another copy. */
     ROUTING,
-    /** Handing the request to another node. */
+    /** Sending the request to another node. */
     PEER_SEND,
     /** Waiting for another node's answer. */
     PEER_WAIT,
@@ -32,6 +32,6 @@
     VM_LIST,
     /** Stopping the node as planned. */
     DRAIN,
-    /** Watching other nodes. */
+    /** Tracking other nodes. */
     MEMBERSHIP
 }
--- a/model/src/main/java/org/carawaysill/model/request/UnknownReason.java
+++ b/model/src/main/java/org/carawaysill/model/request/UnknownReason.java
@@ -1,12 +1,12 @@
 package org.carawaysill.model.request;
 
 /**
- * Why it is not known whether a request ran; each has its own counter.
+ * The reasons why it is unknown whether a request ran; each has its own counter.
  *
  * <p>Immutable and thread safe.
  */
 public enum UnknownReason implements Counted {
-    /** The deadline passed after the request had been handed to a copy. */
+    /** The deadline passed after the request had been sent to a copy. */
     DEADLINE,
     /** The connection to the other node was lost after the request had been written to it. */
     PEER_LOST,
@@ -18,15 +18,18 @@
     QUARANTINED,
     /** The local copy's answer ended before it was complete. */
     TRUNCATED,
-    /** This node started after the identifier was minted, so an earlier run can't be ruled out. */
+    /** This node started after the identifier was created, so an earlier run can't be ruled out. */
     RESTARTED,
-    /** The identifier was minted at a time for which this node can't vouch: an earlier run may have been forgotten. */
+    /**
+     * The identifier was created at a time for which this node has no complete record: an earlier run may have been
+     * dropped from its table.
+     */
     IDENTIFIER_TIME,
-    /** The node that alone knows whether it ran can't be reached; this attempt was not run. */
+    /** The only node that knows whether the request ran can't be reached; this attempt was not run. */
     HOLDER_UNREACHABLE,
-    /** This node has no lease, so another may have run the identifier; this attempt was not run. */
+    /** This node has no lease, so another node may have run the request; this attempt was not run. */
     NO_LEASE,
-    /** The same identifier was handed to a copy before, and its answer is not known. */
+    /** A request with the same identifier was sent to a copy before, and its answer is unknown. */
     EARLIER_ATTEMPT;
 
     @Override
--- a/model/src/main/java/org/carawaysill/model/request/package-info.java
+++ b/model/src/main/java/org/carawaysill/model/request/package-info.java
@@ -1,4 +1,4 @@
-/** What a request says, how it is classified, and the outcomes that a caller can be told. */
+/** The content, classification and possible outcomes of a request. */
 @NullMarked
 package org.carawaysill.model.request;
 
--- a/model/src/main/java/org/carawaysill/model/settings/NodeAddresses.java
+++ b/model/src/main/java/org/carawaysill/model/settings/NodeAddresses.java
@@ -7,15 +7,15 @@
  *
  * <p>Immutable and thread safe.
  *
- * @param ingress where callers connect, HTTP
- * @param egress where the local copy's own calls go, HTTP
- * @param peer where other nodes connect
- * @param admin where operators and metrics connect, HTTP
- * @param copy where the local copy listens, HTTP
+ * @param ingress the HTTP address for callers
+ * @param egress the HTTP address for the local copy's own calls
+ * @param peer the address for other nodes
+ * @param admin the HTTP address for operators and metrics
+ * @param copy the HTTP address of the local copy
  */
 public record NodeAddresses(
         NetworkAddress ingress, NetworkAddress egress, NetworkAddress peer, NetworkAddress admin, NetworkAddress copy) {
 
-    /** Where operators connect if the settings state nothing: only from the node's own VM. */
+    /** The default address for operators, reachable only from the node's own VM. */
     public static final NetworkAddress DEFAULT_ADMIN = new NetworkAddress("127.0.0.1", 21003);
 }
--- a/model/src/main/java/org/carawaysill/model/settings/NodeSettings.java
+++ b/model/src/main/java/org/carawaysill/model/settings/NodeSettings.java
@@ -7,16 +7,16 @@
 /**
  * The settings of one node's process.
  *
- * <p>Invariant: checked as a whole by {@link NodeSettingsParser} before it exists. Immutable and thread safe.
+ * <p>Invariant: {@link NodeSettingsParser} has validated it as a whole. Immutable and thread safe.
  *
  * @param node the node's own name
- * @param service the service whose copy it stands beside
+ * @param service the service of its local copy
  * @param zone the availability zone of its VM
- * @param policy which policy it decides by
- * @param addresses where it listens, and its local copy's address
+ * @param policy the policy by which it decides
+ * @param addresses the addresses at which it listens, and that of its local copy
  * @param platform the platform's services
- * @param limits the greatest sizes that it takes in
- * @param benchFaults whether the admin port may drop the traffic of other nodes, for a bench
+ * @param limits the maximum sizes that it accepts
+ * @param benchFaults whether traffic of other nodes may be dropped through the admin port, for benchmarks
  */
 public record NodeSettings(
         NodeName node,
--- a/model/src/main/java/org/carawaysill/model/settings/NodeSettingsParser.java
+++ b/model/src/main/java/org/carawaysill/model/settings/NodeSettingsParser.java
@@ -17,7 +17,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Reads a node's settings and checks them as a whole.
+ * Parses a node's settings and validates them as a whole.
  *
  * <p>Invariant: a result is valid only if no fault was found anywhere. Not thread safe: one instance reads one text.
  */
@@ -39,9 +39,9 @@
     private NodeSettingsParser() {}
 
     /**
-     * Reads settings.
+     * Parses settings.
      *
-     * @param text the text of a node.toml
+     * @param text the text of a {@code node.toml} file
      * @return the settings, or every fault that was found
      */
     public static ParseResult<NodeSettings> parse(String text) {
--- a/model/src/main/java/org/carawaysill/model/settings/PolicyChoice.java
+++ b/model/src/main/java/org/carawaysill/model/settings/PolicyChoice.java
@@ -1,9 +1,9 @@
 package org.carawaysill.model.settings;
 
-/** Which policy a node decides by. Immutable and thread safe. */
+/** The policies by which a node can decide. Immutable and thread safe. */
 public enum PolicyChoice {
     /** The project's overload control. */
     CARAWAYSILL,
-    /** Plain forwarding with fixed retries at each hop, to compare with. */
+    /** Plain forwarding with fixed retries at each hop, as a baseline for comparison. */
     BASELINE
 }
--- a/model/src/main/java/org/carawaysill/model/settings/SizeLimits.java
+++ b/model/src/main/java/org/carawaysill/model/settings/SizeLimits.java
@@ -1,15 +1,15 @@
 package org.carawaysill.model.settings;
 
 /**
- * The greatest sizes that a node takes in from anyone.
+ * The maximum sizes that a node accepts from any sender.
  *
  * <p>Immutable and thread safe.
  *
- * @param maximumBodyBytes the greatest body of a request or an answer, in bytes
- * @param maximumHeaderBytes the greatest sum of header fields, in bytes
+ * @param maximumBodyBytes the maximum size of the body of a request or an answer, in bytes
+ * @param maximumHeaderBytes the maximum total size of the header fields, in bytes
  */
 public record SizeLimits(int maximumBodyBytes, int maximumHeaderBytes) {
 
-    /** What holds where the settings state nothing: 1 MiB bodies, 16 KiB of headers. */
+    /** The defaults: 1 MiB for bodies, 16 KiB for headers. */
     public static final SizeLimits DEFAULTS = new SizeLimits(1 << 20, 1 << 14);
 }
--- a/model/src/main/java/org/carawaysill/model/vm/VmList.java
+++ b/model/src/main/java/org/carawaysill/model/vm/VmList.java
@@ -5,12 +5,12 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * The platform's list of VMs as read at one moment; it lags behind the truth.
+ * A snapshot of the platform's list of VMs; it lags behind the actual state.
  *
  * <p>Immutable and thread safe.
  *
- * @param states the state of each listed VM; one that is gone is absent
- * @param hosts the IP number of each listed VM whose number is known
+ * @param states the state of each listed VM; a removed VM is absent
+ * @param hosts the IP address of each listed VM whose address is known
  */
 public record VmList(Map<NodeName, VmState> states, Map<NodeName, String> hosts) {
 
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Makes a list without IP numbers.
+     * Creates a list without IP addresses.
      *
      * @param states the state of each listed VM
      */
@@ -29,20 +29,20 @@
     }
 
     /**
-     * Looks a VM up.
+     * Looks up the state of a VM.
      *
      * @param node the node on the VM
-     * @return its state, or empty where the VM is not listed
+     * @return its state, or empty if the VM is not listed
      */
     public Optional<VmState> state(NodeName node) {
         return Optional.ofNullable(states.get(node));
     }
 
     /**
-     * Looks a VM's address up.
+     * Looks up the address of a VM.
      *
      * @param node the node on the VM
-     * @return its IP number, or empty where it is not known
+     * @return its IP address, or empty if it is unknown
      */
     public Optional<String> host(NodeName node) {
         return Optional.ofNullable(hosts.get(node));
--- a/model/src/main/java/org/carawaysill/model/vm/VmState.java
+++ b/model/src/main/java/org/carawaysill/model/vm/VmState.java
@@ -1,6 +1,6 @@
 package org.carawaysill.model.vm;
 
-/** The platform's state of a VM. Immutable and thread safe. */
+/** The state of a VM according to the platform. Immutable and thread safe. */
 public enum VmState {
     /** The VM runs. */
     LIVE,
--- a/model/src/test/java/org/carawaysill/model/configuration/DamagedDocumentPropertyTest.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/DamagedDocumentPropertyTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.carawaysill.model.document.Fault;
 
-/** Whatever is published, reading it ends with a configuration or with faults at lines that exist. */
+/** Verifies that parsing any document yields a configuration, or faults at lines that exist. */
 class DamagedDocumentPropertyTest {
 
     private static final String DAMAGE = "[]{}\"'=.#,\n\\* 9";
--- a/model/src/test/java/org/carawaysill/model/configuration/Documents.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/Documents.java
@@ -8,7 +8,7 @@
 import org.carawaysill.model.document.Fault;
 import org.carawaysill.model.document.ParseResult;
 
-/** Documents and readers that several tests use. Stateless and thread safe. */
+/** Documents and parsing methods shared by several tests. Stateless and thread safe. */
 final class Documents {
 
     static final String SMALL = """
--- a/model/src/test/java/org/carawaysill/model/configuration/OperationPropertyTest.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/OperationPropertyTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The index and the check for unreachable operations agree with comparing each operation. */
+/** Verifies that the index and the check for unreachable operations agree with a comparison of all operations. */
 class OperationPropertyTest {
 
     @Property(seed = "1", tries = 2000)
--- a/model/src/test/java/org/carawaysill/model/configuration/RequestClassifierTest.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/RequestClassifierTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests get the first operation that matches, and each term from the first selector that states it. */
+/**
+ * Verifies that a request gets the first matching operation, and each term from the first matching selector that states
+ * it.
+ */
 class RequestClassifierTest {
 
     private static final CallerName GATE = new CallerName("quay-gate");
@@ -79,8 +82,9 @@
         }
 
         /**
-         * A caller asks GET /bills/../status. By its written form it is a lookup, idempotent and free to be repeated;
-         * the copy resolves the dots and runs whatever stands at /status, perhaps twice. It must match no operation.
+         * Guards against misclassified paths with dot segments: by its literal form, GET /bills/../status is an
+         * idempotent lookup that may be retried, but the copy resolves the dots and runs the operation at /status,
+         * possibly twice. Such a path must match no operation.
          */
         @ParameterizedTest
         @ValueSource(strings = {"/bills/../status", "/bills/%2E%2e/status", "/bills/./status", "/bills/.%2e/status"})
--- a/model/src/test/java/org/carawaysill/model/configuration/ServiceConfigurationParserTest.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/ServiceConfigurationParserTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Documents of services are read whole or refused with every fault. */
+/** Verifies that a service document is either accepted as a whole or refused with every fault. */
 class ServiceConfigurationParserTest {
 
     @Nested
@@ -80,8 +80,9 @@
         }
 
         /**
-         * Someone publishes thousands of nested brackets. A reader that calls itself for each of them runs out of stack
-         * and takes the node's thread with it; this one must refuse the document as any other.
+         * Guards against a stack overflow by a published document with thousands of nested brackets: a parser that
+         * recurses into each of them would end the node's thread. The document must be refused like any other invalid
+         * one.
          */
         @Test
         void isRefusedHoweverDeeplyNested() {
--- a/model/src/test/java/org/carawaysill/model/configuration/SiteDocumentsTest.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/SiteDocumentsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The documents of both sites are faultless and grant what the sites need. */
+/** Verifies that the documents of both sites are valid and grant the terms that the sites need. */
 class SiteDocumentsTest {
 
     private static final List<String> CALLERS = List.of(
--- a/model/src/test/java/org/carawaysill/model/document/FormatsTest.java
+++ b/model/src/test/java/org/carawaysill/model/document/FormatsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Addresses and durations are read exactly, and anything else is refused. */
+/** Verifies that valid addresses and durations are parsed exactly and all others are refused. */
 class FormatsTest {
 
     private static final DurationFormat ANY = new DurationFormat(Duration.ZERO, Duration.ofDays(365));
--- a/model/src/test/java/org/carawaysill/model/document/KeyLocatorTest.java
+++ b/model/src/test/java/org/carawaysill/model/document/KeyLocatorTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Keys are found at their lines in every form that TOML allows. */
+/** Verifies that keys are located at their lines in every form that TOML allows. */
 class KeyLocatorTest {
 
     private static final String TEXT = """
--- a/model/src/test/java/org/carawaysill/model/settings/NodeSettingsParserTest.java
+++ b/model/src/test/java/org/carawaysill/model/settings/NodeSettingsParserTest.java
@@ -11,7 +11,7 @@
 import org.carawaysill.model.identity.NetworkAddress;
 import org.junit.jupiter.api.Test;
 
-/** A node's settings are read whole or refused with every fault. */
+/** Verifies that a node's settings are either accepted as a whole or refused with every fault. */
 class NodeSettingsParserTest {
 
     private static final String SETTINGS = """
