--- a/kernel/src/main/java/org/carawaysill/kernel/duty/Duty.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/duty/Duty.java
@@ -7,7 +7,8 @@
 import org.carawaysill.kernel.ring.BoundedRing;
 
 /**
- * A named thread with one job: it takes items from its ring, parks while there are none, and wakes at a given time.
+ * A named thread with one task: it handles the items of its ring, parks while there are none, and wakes up when its
+ * work is due.
  *
  * <p>Invariants: only this thread runs the work; an item that the ring accepted before {@link #stop()} is handled. A
  * duty starts once and stops once. Thread safe.
@@ -17,8 +18,8 @@
 public final class Duty<T> {
 
     /**
-     * The shortest time between two wake-ups. Guards against work that keeps asking for a wake-up in the past, which
-     * would show as a core at full load: the duty still wakes only a thousand times a second then.
+     * The shortest time between two wake-ups. Guards against work that keeps requesting a wake-up in the past, which
+     * would keep a core at full load: the duty then still wakes up at most a thousand times a second.
      */
     private static final long SHORTEST_WAKE_SPACING_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
@@ -35,11 +36,11 @@
     private long earliestWakeNanos;
 
     /**
-     * Makes a duty that does not run yet.
+     * Creates a duty that is not started.
      *
      * @param name the name of its thread
      * @param ring the ring from which only this duty polls
-     * @param work what to do
+     * @param work the work to do
      */
     public Duty(String name, BoundedRing<T> ring, DutyWork<T> work) {
         this.ring = ring;
@@ -54,9 +55,9 @@
     }
 
     /**
-     * Asks the thread to end once its ring is empty.
+     * Requests that the thread end once its ring is empty.
      *
-     * @return completes when the thread has done its last item; fails with what the work threw
+     * @return completes when the thread has handled its last item; fails with the exception that the work threw
      */
     public CompletableFuture<Void> stop() {
         stopping = true;
@@ -65,9 +66,9 @@
     }
 
     /**
-     * Tells of the end of the thread, whether it was asked to end or not.
+     * Returns a future of the end of the thread, whether its end was requested or not.
      *
-     * @return completes when the thread has done its last item; fails with what the work threw
+     * @return completes when the thread has handled its last item; fails with the exception that the work threw
      */
     public CompletableFuture<Void> ended() {
         return stopped.copy();
--- a/kernel/src/main/java/org/carawaysill/kernel/duty/DutyWork.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/duty/DutyWork.java
@@ -1,7 +1,7 @@
 package org.carawaysill.kernel.duty;
 
 /**
- * What a {@link Duty} does. All methods run on the duty's own thread, so an implementation needs no thread safety.
+ * The work of a {@link Duty}. All methods run on the duty's own thread, so an implementation need not be thread safe.
  *
  * @param <T> the type of the items that the duty takes from its ring
  */
@@ -14,13 +14,13 @@
      */
     void handle(T item);
 
-    /** Does what is due now, since {@link #nextWakeNanos()} has passed. */
+    /** Performs timed work; called once the time of {@link #nextWakeNanos()} has passed. */
     void wakeUp();
 
     /**
-     * Tells when {@link #wakeUp()} is due if no item comes before.
+     * Returns when {@link #wakeUp()} is due if no item arrives before.
      *
-     * @return a time of {@link System#nanoTime()}, {@link Long#MAX_VALUE} for never
+     * @return a time on the clock of {@link System#nanoTime()}, or {@link Long#MAX_VALUE} for never
      */
     long nextWakeNanos();
 }
--- a/kernel/src/main/java/org/carawaysill/kernel/duty/package-info.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/duty/package-info.java
@@ -1,4 +1,4 @@
-/** Threads with one job each, fed by a ring. */
+/** Threads with one task each, fed by a ring. */
 @NullMarked
 package org.carawaysill.kernel.duty;
 
--- a/kernel/src/main/java/org/carawaysill/kernel/package-info.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/package-info.java
@@ -1,4 +1,4 @@
-/** Services found by name, duties and bounded rings. */
+/** Infrastructure of a process: services found by name, duties and bounded rings. */
 @NullMarked
 package org.carawaysill.kernel;
 
--- a/kernel/src/main/java/org/carawaysill/kernel/ring/BoundedRing.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/ring/BoundedRing.java
@@ -7,7 +7,7 @@
 import org.jctools.queues.atomic.MpscAtomicArrayQueue;
 
 /**
- * A first-in, first-out ring of fixed capacity with many producers and one consumer.
+ * A bounded first-in, first-out ring buffer with many producers and one consumer.
  *
  * <p>Invariants: it never holds more than its capacity, an offer never blocks, and a refused offer is counted. Any thread
  * may offer; only one thread, the consumer, may poll and await.
@@ -23,7 +23,7 @@
     private volatile Optional<Thread> parkedConsumer = Optional.empty();
 
     /**
-     * Makes an empty ring.
+     * Creates an empty ring.
      *
      * @param capacity how many items it can hold; rounded up to a power of two
      */
@@ -32,22 +32,22 @@
     }
 
     /**
-     * Offers an item, and wakes the consumer if it awaits one.
+     * Offers an item, and wakes the consumer if it is waiting.
      *
      * @param item the item
-     * @return whether the ring took it
+     * @return whether the ring accepted it
      */
     public Offer offer(T item) {
         return counted(queue.offer(item));
     }
 
     /**
-     * Offers an item unless the ring already holds a number of items, so that the rest stays free for others; wakes the
-     * consumer if it awaits one.
+     * Offers an item unless the ring already holds a given number of items, so that the remaining capacity stays
+     * reserved for other offers; wakes the consumer if it is waiting.
      *
      * @param item the item
      * @param limit how many items the ring may hold at most after this offer
-     * @return whether the ring took it
+     * @return whether the ring accepted it
      */
     public Offer offerBelow(T item, int limit) {
         return counted(queue.offerIfBelowThreshold(item, limit));
@@ -58,18 +58,18 @@
             refused.increment();
             return Offer.FULL;
         }
-        // Guards against a lost wake-up, which shows as an item that lies in the ring until the next one comes. The
-        // fence orders the write of the item before the read of the parked consumer; await() orders its own write of
-        // that before its last look at the ring. So either this thread sees the consumer, or the consumer the item.
+        // Guards against a lost wake-up, which would leave an item in the ring until the next offer. The fence orders
+        // the write of the item before the read of the parked consumer; await() orders its write of the parked consumer
+        // before its last check of the ring. So either this thread sees the consumer, or the consumer sees the item.
         VarHandle.fullFence();
         parkedConsumer.ifPresent(LockSupport::unpark);
         return Offer.ACCEPTED;
     }
 
     /**
-     * Waits until the ring holds an item; returns early where the thread is unparked for another reason.
+     * Waits until the ring holds an item; may return early if the thread is unparked for another reason.
      *
-     * @param limitNanos how long to wait at most, in nanoseconds; {@link Long#MAX_VALUE} for without limit
+     * @param limitNanos the maximum time to wait, in nanoseconds; {@link Long#MAX_VALUE} for no limit
      */
     public void await(long limitNanos) {
         parkedConsumer = Optional.of(Thread.currentThread());
@@ -81,16 +81,16 @@
     }
 
     /**
-     * Takes the oldest item.
+     * Removes and returns the oldest item.
      *
-     * @return the item, or empty where the ring holds none
+     * @return the item, or empty if the ring holds none
      */
     public Optional<T> poll() {
         return Optional.ofNullable(queue.poll());
     }
 
     /**
-     * Tells whether the ring holds nothing.
+     * Returns whether the ring is empty.
      *
      * @return whether it is empty
      */
@@ -99,7 +99,7 @@
     }
 
     /**
-     * Tells how many items the ring holds; an estimate while others offer.
+     * Returns how many items the ring holds; an estimate while other threads offer.
      *
      * @return the number of items
      */
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Tells how many items the ring can hold.
+     * Returns how many items the ring can hold.
      *
      * @return the number of items
      */
@@ -117,7 +117,7 @@
     }
 
     /**
-     * Tells how many offers the ring refused since it was made.
+     * Returns how many offers the ring has refused since its creation.
      *
      * @return the number of refused offers
      */
--- a/kernel/src/main/java/org/carawaysill/kernel/ring/Offer.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/ring/Offer.java
@@ -1,9 +1,9 @@
 package org.carawaysill.kernel.ring;
 
-/** What became of an item offered to a {@link BoundedRing}. Immutable and thread safe. */
+/** The result of offering an item to a {@link BoundedRing}. Immutable and thread safe. */
 public enum Offer {
     /** The ring holds the item. */
     ACCEPTED,
-    /** The ring had no room; the item stays with who offered it. */
+    /** The ring was full; the item was not added. */
     FULL
 }
--- a/kernel/src/main/java/org/carawaysill/kernel/ring/package-info.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/ring/package-info.java
@@ -1,4 +1,4 @@
-/** Rings of fixed capacity that join threads. */
+/** Bounded ring buffers between threads. */
 @NullMarked
 package org.carawaysill.kernel.ring;
 
--- a/kernel/src/main/java/org/carawaysill/kernel/service/Service.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/service/Service.java
@@ -2,11 +2,13 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A part of a process that other parts find by name. Each implementation states its own thread safety. */
+/**
+ * A component of a process that other components look up by name. Each implementation documents its own thread safety.
+ */
 public interface Service {
 
     /**
-     * Names the service; unique within a {@link ServiceRegistry}.
+     * Returns the name of the service, which is unique within a {@link ServiceRegistry}.
      *
      * @return the name
      */
@@ -15,7 +17,7 @@
     /**
      * Starts the service.
      *
-     * @return completes when it works; fails with why it can't
+     * @return completes when it is running; fails with the cause if it can't start
      */
     default CompletableFuture<Void> start() {
         return CompletableFuture.completedFuture(null);
@@ -24,7 +26,7 @@
     /**
      * Stops the service; called only after a successful start.
      *
-     * @return completes when it has stopped; fails with what went wrong on the way
+     * @return completes when it has stopped; fails if stopping failed
      */
     default CompletableFuture<Void> stop() {
         return CompletableFuture.completedFuture(null);
--- a/kernel/src/main/java/org/carawaysill/kernel/service/ServiceRegistry.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/service/ServiceRegistry.java
@@ -12,8 +12,8 @@
 /**
  * The services of one process, found by name and type.
  *
- * <p>Invariants: names are unique; services start in the order in which they were registered, each after the one before
- * it works, and stop in the reverse order. Thread safe.
+ * <p>Invariants: names are unique; services start in the order of their registration, each once the previous one is
+ * running, and stop in reverse order. Thread safe.
  */
 public final class ServiceRegistry {
 
@@ -27,7 +27,7 @@
      * @param <S> the service's type
      * @param service the service
      * @return the service
-     * @throws IllegalArgumentException if another one has its name
+     * @throws IllegalArgumentException if a service of the same name is registered
      */
     public synchronized <S extends Service> S register(S service) {
         if (services.putIfAbsent(service.name(), service) != null) {
@@ -37,23 +37,23 @@
     }
 
     /**
-     * Looks a service up.
+     * Looks up a service.
      *
-     * @param <T> the type wanted
+     * @param <T> the requested type
      * @param name the service's name
-     * @param type the type wanted
-     * @return the service, or empty where none of that name has that type
+     * @param type the requested type
+     * @return the service, or empty if none of that name has that type
      */
     public synchronized <T> Optional<T> find(String name, Class<T> type) {
         return Optional.ofNullable(services.get(name)).filter(type::isInstance).map(type::cast);
     }
 
     /**
-     * Looks up a service that must be there.
+     * Looks up a service that must exist.
      *
-     * @param <T> the type wanted
+     * @param <T> the requested type
      * @param name the service's name
-     * @param type the type wanted
+     * @param type the requested type
      * @return the service
      * @throws IllegalStateException if none of that name has that type
      */
@@ -63,9 +63,9 @@
     }
 
     /**
-     * Starts all services in order. If one fails, those started before it are stopped again.
+     * Starts all services in order. If one fails, the services started before it are stopped.
      *
-     * @return completes when all work; fails with the first failure
+     * @return completes when all are running; fails with the first failure
      */
     public CompletableFuture<Void> start() {
         CompletableFuture<Void> chain = CompletableFuture.completedFuture(null);
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Stops the started services in reverse order, each after the one before it has stopped, whether or not that failed.
+     * Stops the started services in reverse order, each once the previous one has stopped or failed to stop.
      *
      * @return completes when all have stopped; fails with the first failure
      */
--- a/kernel/src/main/java/org/carawaysill/kernel/service/package-info.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/service/package-info.java
@@ -1,4 +1,4 @@
-/** Services of a process, which find each other by name. */
+/** Services of a process, which look each other up by name. */
 @NullMarked
 package org.carawaysill.kernel.service;
 
--- a/kernel/src/test/java/org/carawaysill/kernel/duty/DutyTest.java
+++ b/kernel/src/test/java/org/carawaysill/kernel/duty/DutyTest.java
@@ -71,9 +71,10 @@
     }
 
     /*
-     * A request hangs although the node is idle: its event lies in the ring while the policy's thread sleeps. The
-     * producer wrote the item and read the flag before the duty, which had looked at the ring already, set it. Each
-     * round offers one item at the moment the duty goes to sleep and waits for it.
+     * Guards against a request that hangs on an idle node because its event stays in the ring while the policy's thread
+     * sleeps: the producer writes the item and reads the flag after the duty's last check of the ring, but before the
+     * duty sets the flag. In each round, every producer offers one item when the duty is about to park, and the test
+     * waits until it is handled.
      */
     @Test
     void neverSleepsOverAnItem() throws Exception {
@@ -104,8 +105,8 @@
     }
 
     /*
-     * A core runs at full load on an idle node: the work asks for a wake-up in the past, again and again. The duty
-     * keeps a least time between wake-ups, so that items are still handled and few wake-ups happen.
+     * Guards against full load of a core on an idle node: the work repeatedly requests a wake-up in the past. The duty
+     * enforces a minimum time between wake-ups, so that items are still handled and wake-ups stay few.
      */
     @Test
     void keepsATimeBetweenWakeUpsThatAreAlwaysDue() throws InterruptedException {
