--- a/protocol/src/main/java/org/carawaysill/protocol/codec/BodyCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/BodyCodec.java
@@ -29,7 +29,7 @@
     }
 
     static byte[] decode(boolean present, BodyFrame frame) throws ProtocolFault {
-        Fields.present(present, "body");
+        Fields.requirePresent(present, "body");
         if (frame.getLength() != frame.getContent().size()) {
             throw new ProtocolFault(ProtocolFault.Kind.WRONG_LENGTH, "body");
         }
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/Codes.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/Codes.java
@@ -33,23 +33,23 @@
     private Codes() {}
 
     static RefusalReason refusal(RefusalCode code) throws ProtocolFault {
-        return known(REFUSALS.get(code), "refusal reason");
+        return requireKnown(REFUSALS.get(code), "refusal reason");
     }
 
     static UnknownReason unknown(UnknownCode code) throws ProtocolFault {
-        return known(UNKNOWNS.get(code), "unknown reason");
+        return requireKnown(UNKNOWNS.get(code), "unknown reason");
     }
 
     static Step step(StepCode code) throws ProtocolFault {
-        return known(STEPS.get(code), "step");
+        return requireKnown(STEPS.get(code), "step");
     }
 
     static Purpose purpose(PurposeCode code) throws ProtocolFault {
-        return known(PURPOSES.get(code), "purpose");
+        return requireKnown(PURPOSES.get(code), "purpose");
     }
 
     static LeaseVerdict verdict(LeaseVerdictCode code) throws ProtocolFault {
-        return known(VERDICTS.get(code), "lease verdict");
+        return requireKnown(VERDICTS.get(code), "lease verdict");
     }
 
     static LeaseVerdictCode of(LeaseVerdict verdict) {
@@ -142,7 +142,7 @@
         return Arrays.stream(constants).collect(Collectors.toUnmodifiableMap(codes, Function.identity()));
     }
 
-    private static <E> E known(@Nullable E constant, String field) throws ProtocolFault {
+    private static <E> E requireKnown(@Nullable E constant, String field) throws ProtocolFault {
         if (constant == null) {
             throw new ProtocolFault(ProtocolFault.Kind.UNKNOWN_CODE, field);
         }
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/ContentCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/ContentCodec.java
@@ -13,8 +13,8 @@
 /** Encodes and decodes the content of HTTP requests and answers. Stateless and thread safe. */
 final class ContentCodec {
 
-    private static final int LEAST_STATUS = 100;
-    private static final int GREATEST_STATUS = 999;
+    private static final int MINIMUM_STATUS = 100;
+    private static final int MAXIMUM_STATUS = 999;
 
     private ContentCodec() {}
 
@@ -29,8 +29,8 @@
 
     static RequestContent decode(RequestContentFrame frame) throws ProtocolFault {
         return new RequestContent(
-                Fields.word(frame.getMethod(), "method"),
-                Fields.word(frame.getPath(), "path"),
+                Fields.withoutWhiteSpace(frame.getMethod(), "method"),
+                Fields.withoutWhiteSpace(frame.getPath(), "path"),
                 decode(frame.getHeadersList()),
                 Body.wrap(BodyCodec.decode(frame.hasBody(), frame.getBody())));
     }
@@ -45,7 +45,7 @@
 
     static AnswerContent decode(AnswerContentFrame frame) throws ProtocolFault {
         return new AnswerContent(
-                Fields.between(frame.getStatus(), LEAST_STATUS, GREATEST_STATUS, "status"),
+                Fields.inRange(frame.getStatus(), MINIMUM_STATUS, MAXIMUM_STATUS, "status"),
                 decode(frame.getHeadersList()),
                 Body.wrap(BodyCodec.decode(frame.hasBody(), frame.getBody())));
     }
@@ -65,7 +65,8 @@
         List<Header> headers = new ArrayList<>(fields.size());
         for (HeaderField field : fields) {
             headers.add(new Header(
-                    Fields.word(field.getName(), "header name"), Fields.line(field.getValue(), "header value")));
+                    Fields.withoutWhiteSpace(field.getName(), "header name"),
+                    Fields.singleLine(field.getValue(), "header value")));
         }
         return headers;
     }
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/Fields.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/Fields.java
@@ -16,24 +16,24 @@
 final class Fields {
 
     /** The longest duration that is sent; longer ones are clamped to it before sending. */
-    static final Duration LONGEST_DURATION = Duration.ofDays(30);
+    static final Duration MAXIMUM_DURATION = Duration.ofDays(30);
 
     /** The greatest admission cut: one above the greatest priority, so that nothing is admitted. */
-    static final int GREATEST_CUT = Priority.MAXIMUM + 1;
+    static final int MAXIMUM_CUT = Priority.MAXIMUM + 1;
 
     private static final char SPACE = ' ';
     private static final char DELETE = 0x7f;
 
     private Fields() {}
 
-    static void present(boolean present, String field) throws ProtocolFault {
+    static void requirePresent(boolean present, String field) throws ProtocolFault {
         if (!present) {
             throw new ProtocolFault(ProtocolFault.Kind.MISSING, field);
         }
     }
 
     static String notBlank(String text, String field) throws ProtocolFault {
-        present(!text.isBlank(), field);
+        requirePresent(!text.isBlank(), field);
         return text;
     }
 
@@ -52,15 +52,15 @@
         }
     }
 
-    static int between(int value, int least, int greatest, String field) throws ProtocolFault {
-        if (value < least || value > greatest) {
+    static int inRange(int value, int minimum, int maximum, String field) throws ProtocolFault {
+        if (value < minimum || value > maximum) {
             throw new ProtocolFault(ProtocolFault.Kind.OUT_OF_RANGE, field);
         }
         return value;
     }
 
     static int notNegative(int value, String field) throws ProtocolFault {
-        return between(value, 0, Integer.MAX_VALUE, field);
+        return inRange(value, 0, Integer.MAX_VALUE, field);
     }
 
     static long notNegative(long value, String field) throws ProtocolFault {
@@ -79,21 +79,21 @@
 
     /** Checks a duration; the bound ensures that its sum with any monotonic time does not overflow. */
     static long durationNanos(long value, String field) throws ProtocolFault {
-        if (value < 0 || value > LONGEST_DURATION.toNanos()) {
+        if (value < 0 || value > MAXIMUM_DURATION.toNanos()) {
             throw new ProtocolFault(ProtocolFault.Kind.OUT_OF_RANGE, field);
         }
         return value;
     }
 
     /** Clamps a duration to the range that {@link #durationNanos} accepts: a deadline that has passed is sent as 0. */
-    static long fittingNanos(long nanos) {
-        return Math.clamp(nanos, 0, LONGEST_DURATION.toNanos());
+    static long clampedNanos(long nanos) {
+        return Math.clamp(nanos, 0, MAXIMUM_DURATION.toNanos());
     }
 
     /** Clamps a duration of any length to the range that {@link #durationNanos} accepts. */
-    static long fittingNanos(Duration duration) {
-        if (duration.compareTo(LONGEST_DURATION) > 0) {
-            return LONGEST_DURATION.toNanos();
+    static long clampedNanos(Duration duration) {
+        if (duration.compareTo(MAXIMUM_DURATION) > 0) {
+            return MAXIMUM_DURATION.toNanos();
         }
         return duration.isNegative() ? 0 : duration.toNanos();
     }
@@ -102,8 +102,8 @@
      * Checks a method, path or header name, which must not contain white space or control characters: a line break
      * would let the sender inject HTTP headers or a whole request at the copy.
      */
-    static String word(String text, String field) throws ProtocolFault {
-        present(!text.isEmpty(), field);
+    static String withoutWhiteSpace(String text, String field) throws ProtocolFault {
+        requirePresent(!text.isEmpty(), field);
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= SPACE || text.charAt(i) == DELETE) {
                 throw new ProtocolFault(ProtocolFault.Kind.BAD_TEXT, field);
@@ -112,8 +112,8 @@
         return text;
     }
 
-    /** Checks a header's value, which must not contain a line break, for the same reason as {@link #word}. */
-    static String line(String text, String field) throws ProtocolFault {
+    /** Checks a header's value, which must not contain a line break, for the same reason as {@link #withoutWhiteSpace}. */
+    static String singleLine(String text, String field) throws ProtocolFault {
         for (int i = 0; i < text.length(); i++) {
             char character = text.charAt(i);
             if (character == '\r' || character == '\n' || character == 0) {
@@ -147,12 +147,12 @@
     }
 
     static AttemptIdentifier attempt(boolean present, Identifier identifier) throws ProtocolFault {
-        present(present, "attempt");
+        requirePresent(present, "attempt");
         return new AttemptIdentifier(identifier.getHigh(), identifier.getLow());
     }
 
     static RequestIdentifier request(boolean present, Identifier identifier) throws ProtocolFault {
-        present(present, "request");
+        requirePresent(present, "request");
         return new RequestIdentifier(identifier.getHigh(), identifier.getLow());
     }
 }
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/FleetCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/FleetCodec.java
@@ -37,20 +37,20 @@
                 .setRank(request.rank())
                 .setIdempotent(request.idempotent())
                 .setDepth(request.depth())
-                .setRootAgeNanos(Fields.fittingNanos(request.rootAgeNanos()))
-                .setRemainingNanos(Fields.fittingNanos(request.remainingNanos()))
+                .setRootAgeNanos(Fields.clampedNanos(request.rootAgeNanos()))
+                .setRemainingNanos(Fields.clampedNanos(request.remainingNanos()))
                 .setContent(ContentCodec.encode(request.content()))
                 .build();
     }
 
     static CopyRequest decode(CopyRequestFrame frame) throws ProtocolFault {
-        Fields.present(frame.hasContent(), "content");
+        Fields.requirePresent(frame.hasContent(), "content");
         return new CopyRequest(
                 Fields.attempt(frame.hasAttempt(), frame.getAttempt()),
-                Fields.line(frame.getRequestName(), "request name"),
+                Fields.singleLine(frame.getRequestName(), "request name"),
                 Fields.service(frame.getService()),
-                new CopyName(Fields.line(Fields.notBlank(frame.getCopy(), "copy"), "copy")),
-                Fields.service(Fields.line(frame.getCallerService(), "caller service")),
+                new CopyName(Fields.singleLine(Fields.notBlank(frame.getCopy(), "copy"), "copy")),
+                Fields.service(Fields.singleLine(frame.getCallerService(), "caller service")),
                 Fields.organisation(frame.getOrganisation()),
                 frame.getRootRoute(),
                 Fields.notNegative(frame.getRank(), "rank"),
@@ -95,7 +95,7 @@
         for (RouteDemandFrame demand : frame.getDemandsList()) {
             demands.add(new RouteDemand(
                     demand.getRoute(),
-                    Fields.between(demand.getOrganisationRank(), 0, Organisation.MAX_RANK, "organisation rank"),
+                    Fields.inRange(demand.getOrganisationRank(), 0, Organisation.MAX_RANK, "organisation rank"),
                     Fields.notNegative(demand.getOfferedPerSecond(), "offered per second"),
                     Fields.notNegative(demand.getCompletedPerSecond(), "completed per second")));
         }
@@ -120,7 +120,7 @@
                 frame.getSummed(),
                 demands,
                 costs,
-                SummaryCodec.uses(frame.getUsesList()));
+                SummaryCodec.decodeUses(frame.getUsesList()));
     }
 
     static CopyAnswerFrame encode(CopyAnswer answer) {
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/LeaseCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/LeaseCodec.java
@@ -26,7 +26,7 @@
                 .setIncarnation(request.incarnation())
                 .setWallMillis(request.wallMillis())
                 .setSequence(request.sequence())
-                .setDurationNanos(Fields.fittingNanos(request.durationNanos()))
+                .setDurationNanos(Fields.clampedNanos(request.durationNanos()))
                 .setRosterVersion(request.rosterVersion())
                 .setRosterDigest(request.rosterDigest())
                 .setPreviousDigest(request.previousDigest())
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/LoadCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/LoadCodec.java
@@ -22,12 +22,12 @@
     }
 
     static LoadReport decode(boolean present, LoadReportFrame frame) throws ProtocolFault {
-        Fields.present(present, "load");
+        Fields.requirePresent(present, "load");
         return new LoadReport(
                 Fields.notNegative(frame.getInFlight(), "in flight"),
                 Fields.notNegative(frame.getLimit(), "limit"),
                 Fields.notNegative(frame.getQueued(), "queued"),
-                Fields.between(frame.getCut(), 0, Fields.GREATEST_CUT, "cut"));
+                Fields.inRange(frame.getCut(), 0, Fields.MAXIMUM_CUT, "cut"));
     }
 
     static List<ServiceCutFrame> encode(List<ServiceCut> cuts) {
@@ -46,7 +46,7 @@
         for (ServiceCutFrame frame : frames) {
             cuts.add(new ServiceCut(
                     Fields.service(frame.getService()),
-                    Fields.between(frame.getLevel(), 0, Fields.GREATEST_CUT, "cut level")));
+                    Fields.inRange(frame.getLevel(), 0, Fields.MAXIMUM_CUT, "cut level")));
         }
         return cuts;
     }
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/OutcomeCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/OutcomeCodec.java
@@ -26,7 +26,7 @@
     private static NotRunFrame encode(Outcome.NotRun notRun) {
         NotRunFrame.Builder frame = NotRunFrame.newBuilder()
                 .setReason(Codes.of(notRun.reason()))
-                .setRetryAfterNanos(Fields.fittingNanos(notRun.retryAfter()))
+                .setRetryAfterNanos(Fields.clampedNanos(notRun.retryAfter()))
                 .setStep(Codes.of(notRun.step()));
         notRun.peer().map(NodeName::value).ifPresent(frame::setPeer);
         return frame.build();
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/RequestCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/RequestCodec.java
@@ -25,7 +25,7 @@
                 .setPriority(request.priority().level())
                 .setIdempotent(request.idempotent())
                 .setRetryCredits(request.retryCredits())
-                .setRemainingNanos(Fields.fittingNanos(request.remainingNanos()))
+                .setRemainingNanos(Fields.clampedNanos(request.remainingNanos()))
                 .setDepth(request.depth())
                 .setPurpose(Codes.of(request.purpose()))
                 .setContent(ContentCodec.encode(request.content()));
@@ -34,14 +34,14 @@
     }
 
     static PeerRequest decode(PeerRequestFrame frame) throws ProtocolFault {
-        Fields.present(frame.hasContent(), "content");
+        Fields.requirePresent(frame.hasContent(), "content");
         return new PeerRequest(
                 Fields.attempt(frame.hasAttempt(), frame.getAttempt()),
                 Fields.request(frame.hasRequest(), frame.getRequest()),
                 Fields.service(frame.getService()),
                 frame.getOperation(),
                 new CallerName(Fields.notBlank(frame.getCaller(), "caller")),
-                new Priority(Fields.between(frame.getPriority(), 0, Priority.MAXIMUM, "priority")),
+                new Priority(Fields.inRange(frame.getPriority(), 0, Priority.MAXIMUM, "priority")),
                 frame.getIdempotent(),
                 frame.hasKey() ? Optional.of(frame.getKey()) : Optional.empty(),
                 Fields.notNegative(frame.getRetryCredits(), "retry credits"),
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/SummaryCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/SummaryCodec.java
@@ -52,7 +52,7 @@
                 .build();
     }
 
-    static List<OrganisationUse> uses(List<OrganisationUseFrame> frames) throws ProtocolFault {
+    static List<OrganisationUse> decodeUses(List<OrganisationUseFrame> frames) throws ProtocolFault {
         List<OrganisationUse> uses = new ArrayList<>(frames.size());
         for (OrganisationUseFrame frame : frames) {
             OrganisationName organisation = Fields.organisation(frame.getOrganisation())
@@ -114,17 +114,17 @@
                         frame.getPublishedDigest()),
                 nodes,
                 routes,
-                uses(frame.getUsesList()));
+                decodeUses(frame.getUsesList()));
     }
 
-    private static ServiceName service(int index, List<ServiceName> services) throws ProtocolFault {
-        return services.get(Fields.between(index, 0, services.size() - 1, "service index"));
+    private static ServiceName serviceAt(int index, List<ServiceName> services) throws ProtocolFault {
+        return services.get(Fields.inRange(index, 0, services.size() - 1, "service index"));
     }
 
     private static NodeState decode(NodeStateFrame node, List<ServiceName> services) throws ProtocolFault {
         return new NodeState(
                 new NodeName(Fields.notBlank(node.getNode(), "node")),
-                service(node.getServiceIndex(), services),
+                serviceAt(node.getServiceIndex(), services),
                 node.getLeaving(),
                 !node.getUnableToReadPlatform(),
                 new LoadReport(
@@ -139,14 +139,14 @@
         List<ServiceCost> costs = new ArrayList<>(route.getCostsCount());
         for (ServiceCostFrame cost : route.getCostsList()) {
             costs.add(new ServiceCost(
-                    service(cost.getServiceIndex(), services),
+                    serviceAt(cost.getServiceIndex(), services),
                     Fields.notNegative(cost.getSlotSeconds(), "slot seconds"),
                     Fields.notNegative(cost.getWeight(), "weight")));
         }
         List<RankDemand> demands = new ArrayList<>(route.getDemandsCount());
         for (RankDemandFrame demand : route.getDemandsList()) {
             demands.add(new RankDemand(
-                    Fields.between(demand.getOrganisationRank(), 0, Organisation.MAX_RANK, "organisation rank"),
+                    Fields.inRange(demand.getOrganisationRank(), 0, Organisation.MAX_RANK, "organisation rank"),
                     Fields.notNegative(demand.getOfferedPerSecond(), "offered per second")));
         }
         return new RouteSummary(route.getRoute(), demands, costs);
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/SuspicionCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/SuspicionCodec.java
@@ -29,7 +29,7 @@
                 .addAllWitnessed(suspicion.witnessed())
                 .addAllCleared(suspicion.cleared())
                 .setQuarantinedAt(suspicion.quarantinedAt())
-                .setRemainingNanos(Fields.fittingNanos(suspicion.remainingNanos()))
+                .setRemainingNanos(Fields.clampedNanos(suspicion.remainingNanos()))
                 .build();
     }
 
--- a/protocol/src/main/java/org/carawaysill/protocol/link/ConnectionHandler.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/ConnectionHandler.java
@@ -16,7 +16,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        connection.began();
+        connection.start();
     }
 
     @Override
@@ -35,7 +35,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        connection.cutOff();
+        connection.channelClosed();
     }
 
     @Override
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Dialler.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/Dialler.java
@@ -24,7 +24,7 @@
  */
 final class Dialler {
 
-    private static final int MOST_DOUBLINGS = 16;
+    private static final int MAXIMUM_DOUBLINGS = 16;
 
     private final EventLoop eventLoop;
     private final Bootstrap bootstrap;
@@ -45,7 +45,7 @@
         SocketOptions.of(table.limits()).applyTo(bootstrap);
     }
 
-    void want(NodeName peer, InetSocketAddress address) {
+    void request(NodeName peer, InetSocketAddress address) {
         Target known = targets.get(peer);
         if (known != null && known.address.equals(address)) {
             return;
@@ -57,11 +57,11 @@
         }
     }
 
-    void forget(NodeName peer) {
+    void cancel(NodeName peer) {
         targets.remove(peer);
     }
 
-    void forgetAll() {
+    void cancelAll() {
         targets.clear();
     }
 
@@ -74,23 +74,23 @@
     }
 
     private void dialLater(Target target) {
-        if (target.busy || !isWanted(target)) {
+        if (target.dialPending || !isRequested(target)) {
             return;
         }
-        target.busy = true;
+        target.dialPending = true;
         long delay = nextDelayNanos(target);
         eventLoop.schedule(() -> dialNow(target), delay, TimeUnit.NANOSECONDS);
     }
 
     private void dialNow(Target target) {
-        target.busy = false;
-        if (isWanted(target) && table.open(target.peer).isEmpty()) {
+        target.dialPending = false;
+        if (isRequested(target) && table.open(target.peer).isEmpty()) {
             dial(target);
         }
     }
 
     private void dial(Target target) {
-        target.busy = true;
+        target.dialPending = true;
         ChannelFuture dialling =
                 bootstrap.clone().handler(initializer(target.peer)).connect(target.address);
         // Runs on the event loop, since a failure to create the socket is reported on another thread.
@@ -105,13 +105,13 @@
             return;
         }
         dialling.channel().closeFuture().addListener(_ -> ended(target));
-        if (!isWanted(target)) {
+        if (!isRequested(target)) {
             dialling.channel().close();
         }
     }
 
     private void ended(Target target) {
-        target.busy = false;
+        target.dialPending = false;
         if (table.open(target.peer).isEmpty()) {
             dialLater(target);
         }
@@ -126,7 +126,7 @@
         };
     }
 
-    private boolean isWanted(Target target) {
+    private boolean isRequested(Target target) {
         return targets.get(target.peer) == target;
     }
 
@@ -138,7 +138,7 @@
             target.failures = 0;
         }
         target.lastDelayAt = now;
-        int doublings = Math.min(target.failures++, MOST_DOUBLINGS);
+        int doublings = Math.min(target.failures++, MAXIMUM_DOUBLINGS);
         long delay = Math.min(table.limits().shortestRedial().toNanos() << doublings, longest);
         return delay / 2 + random.nextLong(delay / 2 + 1);
     }
@@ -147,7 +147,7 @@
 
         private final NodeName peer;
         private final InetSocketAddress address;
-        private boolean busy;
+        private boolean dialPending;
         private int failures;
         private long lastDelayAt = System.nanoTime();
 
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Handshake.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/Handshake.java
@@ -38,41 +38,41 @@
 
     void received(Frame frame) throws ProtocolFault {
         if (peer.isEmpty()) {
-            greeted(frame);
+            handleHello(frame);
         } else {
-            answered(frame);
+            handleReply(frame);
         }
     }
 
-    private void greeted(Frame frame) {
-        switch (Greeting.check(frame, table.self(), dialled)) {
-            case Greeting.Result.Faulty faulty -> refuse(faulty.kind(), faulty.detail());
-            case Greeting.Result.Greeted greeted
-            when table.isBlocked(greeted.peer().name()) ->
+    private void handleHello(Frame frame) {
+        switch (HelloValidator.check(frame, table.self(), dialled)) {
+            case HelloValidator.Result.Invalid invalid -> refuse(invalid.kind(), invalid.detail());
+            case HelloValidator.Result.Valid valid
+            when table.isBlocked(valid.peer().name()) ->
                 // Dropped like all traffic of a blocked peer; the handshake then times out.
-                table.counters().blocked();
-            case Greeting.Result.Greeted greeted -> greetBack(greeted);
+                table.counters().countBlocked();
+            case HelloValidator.Result.Valid valid -> replyToHello(valid);
         }
     }
 
-    private void greetBack(Greeting.Result.Greeted greeted) {
-        peer = Optional.of(greeted.peer());
-        if (!mayOpen(greeted.peer())) {
+    private void replyToHello(HelloValidator.Result.Valid hello) {
+        peer = Optional.of(hello.peer());
+        if (!mayOpen(hello.peer())) {
             return;
         }
         if (dialled.isEmpty()) {
-            connection.write(LinkFrames.hello(table.self(), greeted.connection()));
+            connection.write(LinkFrames.hello(table.self(), hello.connection()));
         }
-        if (table.self().choosesAgainst(greeted.peer())) {
+        if (table.self().selectsConnectionAgainst(hello.peer())) {
             connection.write(LinkFrames.ACCEPTED);
-            connection.open(greeted.peer());
+            connection.open(hello.peer());
         }
         connection.flush();
         // Must come last, since bytes already received pass through the new decoder immediately.
-        connection.admitLargeFrames();
+        connection.raiseFrameLimit();
     }
 
-    private void answered(Frame frame) throws ProtocolFault {
+    private void handleReply(Frame frame) throws ProtocolFault {
         switch (frame.getKindCase()) {
             case ACCEPTED -> peer.filter(this::mayOpen).ifPresent(connection::open);
             case REFUSED ->
@@ -83,10 +83,10 @@
         }
     }
 
-    private boolean mayOpen(LinkIdentity greeted) {
-        Optional<LinkFaultKind> objection = table.objection(greeted);
-        objection.ifPresent(kind -> refuse(kind, "incarnation " + greeted.incarnation()));
-        return objection.isEmpty();
+    private boolean mayOpen(LinkIdentity identity) {
+        Optional<LinkFaultKind> refusalReason = table.refusalReason(identity);
+        refusalReason.ifPresent(kind -> refuse(kind, "incarnation " + identity.incarnation()));
+        return refusalReason.isEmpty();
     }
 
     private void refuse(LinkFaultKind kind, String detail) {
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Greeting.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/HelloValidator.java
@@ -7,7 +7,7 @@
 import org.carawaysill.protocol.generated.Hello;
 
 /** Checks the first frame that the other side sends on a connection. Stateless and thread safe. */
-final class Greeting {
+final class HelloValidator {
 
     /** The largest frame that is accepted before the hello of the other side. */
     static final int MAXIMUM_BYTES = 4096;
@@ -15,32 +15,32 @@
     static final long MAGIC = 0x6361_7261_7761_7953L;
     static final int VERSION = 4;
 
-    private Greeting() {}
+    private HelloValidator() {}
 
     /** The result of checking the first frame of the other side. */
     sealed interface Result {
 
         /** A valid hello from a node to which a connection is allowed. */
-        record Greeted(LinkIdentity peer, long connection) implements Result {}
+        record Valid(LinkIdentity peer, long connection) implements Result {}
 
         /** Anything else. */
-        record Faulty(LinkFaultKind kind, String detail) implements Result {}
+        record Invalid(LinkFaultKind kind, String detail) implements Result {}
     }
 
     static Result check(Frame frame, LinkIdentity self, Optional<NodeName> expected) {
         if (frame.getKindCase() == Frame.KindCase.REFUSED) {
-            return new Result.Faulty(
+            return new Result.Invalid(
                     LinkFaultKind.REFUSED_BY_PEER, frame.getRefused().getReason());
         }
         Hello hello = frame.getHello();
         if (frame.getKindCase() != Frame.KindCase.HELLO || hello.getMagic() != MAGIC) {
-            return new Result.Faulty(LinkFaultKind.WRONG_MAGIC, "the first frame is not a hello");
+            return new Result.Invalid(LinkFaultKind.WRONG_MAGIC, "the first frame is not a hello");
         }
         if (hello.getVersion() != VERSION) {
-            return new Result.Faulty(LinkFaultKind.WRONG_VERSION, "version " + hello.getVersion());
+            return new Result.Invalid(LinkFaultKind.WRONG_VERSION, "version " + hello.getVersion());
         }
         if (hello.getNode().isBlank() || hello.getService().isBlank() || hello.getIncarnation() < 0) {
-            return new Result.Faulty(LinkFaultKind.MALFORMED, "incomplete hello");
+            return new Result.Invalid(LinkFaultKind.MALFORMED, "incomplete hello");
         }
         return checkName(hello, self, expected);
     }
@@ -48,12 +48,12 @@
     private static Result checkName(Hello hello, LinkIdentity self, Optional<NodeName> expected) {
         NodeName name = new NodeName(hello.getNode());
         if (name.equals(self.name())) {
-            return new Result.Faulty(LinkFaultKind.OWN_NAME, "the peer has this node's name");
+            return new Result.Invalid(LinkFaultKind.OWN_NAME, "the peer has this node's name");
         }
         if (expected.isPresent() && !expected.get().equals(name)) {
-            return new Result.Faulty(LinkFaultKind.WRONG_PEER, "the peer is named " + name);
+            return new Result.Invalid(LinkFaultKind.WRONG_PEER, "the peer is named " + name);
         }
         LinkIdentity peer = new LinkIdentity(name, new ServiceName(hello.getService()), hello.getIncarnation());
-        return new Result.Greeted(peer, hello.getConnection());
+        return new Result.Valid(peer, hello.getConnection());
     }
 }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/LinkCounters.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/LinkCounters.java
@@ -79,20 +79,20 @@
         return blockedFrames.get();
     }
 
-    void blocked() {
+    void countBlocked() {
         blockedFrames.incrementAndGet();
     }
 
-    void fault(LinkFaultKind kind) {
+    void countFault(LinkFaultKind kind) {
         faults.incrementAndGet(kind.ordinal());
     }
 
-    void sent(TrafficKind kind, int frameBytes) {
+    void countSent(TrafficKind kind, int frameBytes) {
         sentFrames.incrementAndGet(kind.ordinal());
         sentBytes.addAndGet(kind.ordinal(), frameBytes + FrameBytes.LENGTH_BYTES);
     }
 
-    void received(TrafficKind kind, int frameBytes) {
+    void countReceived(TrafficKind kind, int frameBytes) {
         receivedFrames.incrementAndGet(kind.ordinal());
         receivedBytes.addAndGet(kind.ordinal(), frameBytes + FrameBytes.LENGTH_BYTES);
     }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/LinkFrames.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/LinkFrames.java
@@ -23,8 +23,8 @@
 
     static Frame hello(LinkIdentity self, long connection) {
         Hello hello = Hello.newBuilder()
-                .setMagic(Greeting.MAGIC)
-                .setVersion(Greeting.VERSION)
+                .setMagic(HelloValidator.MAGIC)
+                .setVersion(HelloValidator.VERSION)
                 .setNode(self.name().value())
                 .setService(self.service().value())
                 .setIncarnation(self.incarnation())
--- a/protocol/src/main/java/org/carawaysill/protocol/link/LinkIdentity.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/LinkIdentity.java
@@ -15,7 +15,7 @@
 record LinkIdentity(NodeName name, ServiceName service, long incarnation) {
 
     /** Returns whether this node, of the two, selects which of several connections carries their messages. */
-    boolean choosesAgainst(LinkIdentity other) {
+    boolean selectsConnectionAgainst(LinkIdentity other) {
         return name.compareTo(other.name) < 0;
     }
 }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/OutboundFrames.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/OutboundFrames.java
@@ -22,7 +22,7 @@
 
     private final Channel channel;
     private final LinkCounters counters;
-    private final ArrayDeque<Waiting> frames = new ArrayDeque<>();
+    private final ArrayDeque<PendingFrame> frames = new ArrayDeque<>();
 
     OutboundFrames(Channel channel, LinkCounters counters) {
         this.channel = channel;
@@ -40,11 +40,11 @@
     }
 
     private void write(Frame frame, int size, Optional<PeerMessage> message) {
-        Waiting waiting = new Waiting(message, System.nanoTime());
-        frames.add(waiting);
+        PendingFrame pending = new PendingFrame(message, System.nanoTime());
+        frames.add(pending);
         ChannelProgressivePromise promise = channel.newProgressivePromise();
-        promise.addListener(waiting);
-        counters.sent(TrafficKind.of(frame), size);
+        promise.addListener(pending);
+        counters.countSent(TrafficKind.of(frame), size);
         channel.write(FrameBytes.write(channel.alloc(), frame, size), promise);
     }
 
@@ -59,14 +59,14 @@
     /** Returns how long the oldest frame has been pending, or 0 if there is none. */
     long oldestWaitNanos(long now) {
         dropWritten();
-        Waiting oldest = frames.peek();
+        PendingFrame oldest = frames.peek();
         return oldest == null ? 0 : now - oldest.since;
     }
 
     /** Returns the messages of which no byte was passed to the operating system. */
-    List<PeerMessage> untouched() {
+    List<PeerMessage> unsentMessages() {
         return frames.stream()
-                .filter(frame -> !frame.touched)
+                .filter(frame -> !frame.progressed)
                 .flatMap(frame -> frame.message.stream())
                 .toList();
     }
@@ -77,27 +77,27 @@
         }
     }
 
-    private final class Waiting implements ChannelProgressiveFutureListener {
+    private final class PendingFrame implements ChannelProgressiveFutureListener {
 
         private final Optional<PeerMessage> message;
         private final long since;
-        private boolean touched;
+        private boolean progressed;
         private boolean written;
 
-        Waiting(Optional<PeerMessage> message, long since) {
+        PendingFrame(Optional<PeerMessage> message, long since) {
             this.message = message;
             this.since = since;
         }
 
         @Override
         public void operationProgressed(ChannelProgressiveFuture future, long progress, long total) {
-            touched = true;
+            progressed = true;
         }
 
         @Override
         public void operationComplete(ChannelProgressiveFuture future) {
             if (future.isSuccess()) {
-                touched = true;
+                progressed = true;
                 written = true;
                 dropWritten();
             }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Outgoing.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/OutgoingMessage.java
@@ -11,4 +11,4 @@
  * @param peer the receiving node
  * @param message the message
  */
-record Outgoing(NodeName peer, PeerMessage message) {}
+record OutgoingMessage(NodeName peer, PeerMessage message) {}
--- a/protocol/src/main/java/org/carawaysill/protocol/link/PeerConnection.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/PeerConnection.java
@@ -22,7 +22,7 @@
 final class PeerConnection {
 
     private enum State {
-        GREETING,
+        HANDSHAKE,
         OPEN,
         CLOSING,
         ENDED
@@ -33,10 +33,10 @@
     private final Optional<NodeName> dialled;
     private final Handshake handshake;
     private final OutboundFrames outbound;
-    private final Deadline greetingDeadline;
+    private final Deadline handshakeDeadline;
     private final Deadline probeDeadline;
     private final Deadline closingDeadline;
-    private State state = State.GREETING;
+    private State state = State.HANDSHAKE;
     private String address = "";
 
     /**
@@ -53,14 +53,16 @@
         handshake = new Handshake(this, table, dialled);
         outbound = new OutboundFrames(channel, table.counters());
         LinkLimits limits = table.limits();
-        greetingDeadline = new Deadline(channel.eventLoop(), limits.greetingLimit(), this::greetingOverdue);
-        probeDeadline = new Deadline(channel.eventLoop(), limits.probeLimit(), this::probeOverdue);
+        handshakeDeadline = new Deadline(channel.eventLoop(), limits.greetingLimit(), this::handshakeTimedOut);
+        probeDeadline = new Deadline(channel.eventLoop(), limits.probeLimit(), this::probeTimedOut);
         closingDeadline = new Deadline(channel.eventLoop(), limits.closingLimit(), () -> end(Optional.empty()));
     }
 
     /** Installs the channel's handlers. */
     void install() {
-        channel.pipeline().addLast(FrameBytes.decoder(Greeting.MAXIMUM_BYTES)).addLast(new ConnectionHandler(this));
+        channel.pipeline()
+                .addLast(FrameBytes.decoder(HelloValidator.MAXIMUM_BYTES))
+                .addLast(new ConnectionHandler(this));
     }
 
     /** Returns the peer, which is known once its hello has been received. */
@@ -69,7 +71,7 @@
     }
 
     /** Returns whether the peer has, or was dialled by, this name. */
-    boolean isWith(NodeName name) {
+    boolean isConnectionTo(NodeName name) {
         return name().filter(name::equals).isPresent();
     }
 
@@ -78,19 +80,19 @@
     }
 
     /** Starts the handshake. */
-    void began() {
+    void start() {
         // Stored, since a closed channel no longer has it.
         address = String.valueOf(channel.remoteAddress());
-        table.began(this);
+        table.add(this);
         // Guards against a half-open connection whose other side never sends a hello: it would occupy a socket for
         // ever.
-        greetingDeadline.start();
+        handshakeDeadline.start();
         if (!isBlocked()) {
             handshake.begin();
         }
     }
 
-    private void greetingOverdue() {
+    private void handshakeTimedOut() {
         end(LinkFaultKind.NO_HELLO, "no hello within " + table.limits().greetingLimit());
     }
 
@@ -101,11 +103,11 @@
 
     void received(Frame frame, int bytes) throws ProtocolFault {
         if (isBlocked()) {
-            table.counters().blocked();
+            table.counters().countBlocked();
             return;
         }
-        table.counters().received(TrafficKind.of(frame), bytes);
-        if (state == State.GREETING) {
+        table.counters().countReceived(TrafficKind.of(frame), bytes);
+        if (state == State.HANDSHAKE) {
             handshake.received(frame);
         } else {
             handle(frame);
@@ -122,12 +124,12 @@
 
     /** Opens the connection for messages. */
     void open(LinkIdentity peer) {
-        greetingDeadline.stop();
+        handshakeDeadline.stop();
         state = State.OPEN;
         table.opened(this, peer);
     }
 
-    void admitLargeFrames() {
+    void raiseFrameLimit() {
         channel.pipeline()
                 .replace(
                         LengthFieldBasedFrameDecoder.class,
@@ -154,7 +156,7 @@
      * @return whether it was accepted; if not, no byte of it was written
      */
     boolean send(PeerMessage message) {
-        Frame frame = table.frameOf(message);
+        Frame frame = table.encode(message);
         int size = frame.getSerializedSize();
         if (size > table.limits().maximumFrameBytes()) {
             table.fault(fault(LinkFaultKind.OVERSIZE, "a message of " + size + " bytes was not sent"));
@@ -202,7 +204,7 @@
         }
     }
 
-    private void probeOverdue() {
+    private void probeTimedOut() {
         end(
                 LinkFaultKind.UNRESPONSIVE,
                 "no reply to a probe within " + table.limits().probeLimit());
@@ -213,7 +215,7 @@
      * closes. Closing with unread input would make the operating system reset the connection, and the other side could
      * lose data already written to it.
      */
-    void closeInOrder() {
+    void closeGracefully() {
         if (state == State.CLOSING) {
             return;
         }
@@ -235,13 +237,13 @@
             return;
         }
         state = State.ENDED;
-        greetingDeadline.stop();
+        handshakeDeadline.stop();
         probeDeadline.stop();
         closingDeadline.stop();
         // Closed before the pending frames are examined, so that no byte can be written after they are reported as
         // unsent.
         channel.close();
-        List<PeerMessage> unsent = outbound.untouched();
+        List<PeerMessage> unsent = outbound.unsentMessages();
         fault.ifPresent(table::fault);
         table.ended(this, unsent);
     }
@@ -251,10 +253,10 @@
     }
 
     /** Ends the connection because its channel was closed. */
-    void cutOff() {
-        boolean greetingCutOff = dialled.isPresent() && state == State.GREETING;
+    void channelClosed() {
+        boolean handshakeInterrupted = dialled.isPresent() && state == State.HANDSHAKE;
         end(
-                greetingCutOff
+                handshakeInterrupted
                         ? Optional.of(fault(LinkFaultKind.BROKEN, "closed during the handshake"))
                         : Optional.empty());
     }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/PeerLink.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/PeerLink.java
@@ -53,7 +53,7 @@
         acceptor = new Acceptor(eventLoop, table);
         dialler = new Dialler(eventLoop, table, builder.random);
         ring = new SendRing(table, eventLoop);
-        table.whenLost(dialler::lost);
+        table.onLost(dialler::lost);
     }
 
     private static <T> T required(Optional<T> value, String name) {
@@ -90,7 +90,7 @@
      */
     public void connect(NodeName peer, String host, int port) {
         InetSocketAddress peerAddress = new InetSocketAddress(host, port);
-        onEventLoop(() -> dialler.want(peer, peerAddress));
+        onEventLoop(() -> dialler.request(peer, peerAddress));
     }
 
     /**
@@ -101,7 +101,7 @@
      */
     public void disconnect(NodeName peer) {
         onEventLoop(() -> {
-            dialler.forget(peer);
+            dialler.cancel(peer);
             ring.drainFully();
             table.close(peer);
         });
@@ -128,7 +128,7 @@
      * @param message the message
      */
     public void send(NodeName peer, PeerMessage message) {
-        ring.offer(new Outgoing(peer, message));
+        ring.offer(new OutgoingMessage(peer, message));
     }
 
     /**
@@ -169,7 +169,7 @@
 
     private void closeConnections() {
         acceptor.close();
-        dialler.forgetAll();
+        dialler.cancelAll();
         ring.drainFully();
         table.closeAll(() ->
                 ownGroup.ifPresent(group -> group.shutdownGracefully(0, STOP_LIMIT.toMillis(), TimeUnit.MILLISECONDS)));
--- a/protocol/src/main/java/org/carawaysill/protocol/link/PeerTable.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/PeerTable.java
@@ -28,9 +28,9 @@
     private final RandomGenerator random;
     private final LinkCounters counters = new LinkCounters();
     private final Map<NodeName, PeerConnection> open = new HashMap<>();
-    private final Set<PeerConnection> all = new HashSet<>();
-    private Consumer<NodeName> whenLost = _ -> {};
-    private Optional<Runnable> whenEmpty = Optional.empty();
+    private final Set<PeerConnection> connections = new HashSet<>();
+    private Consumer<NodeName> onLost = _ -> {};
+    private Optional<Runnable> onEmpty = Optional.empty();
     private Optional<Encoded> lastEncoded = Optional.empty();
     private volatile Set<NodeName> blocked = Set.of();
 
@@ -58,12 +58,12 @@
     }
 
     /** Sets the action that dials a peer again after its connection was lost. */
-    void whenLost(Consumer<NodeName> action) {
-        whenLost = action;
+    void onLost(Consumer<NodeName> action) {
+        onLost = action;
     }
 
     /** Encodes a message; a message sent to several peers in a row, such as a report, is encoded only once. */
-    Frame frameOf(PeerMessage message) {
+    Frame encode(PeerMessage message) {
         if (lastEncoded.isEmpty() || lastEncoded.get().message() != message) {
             lastEncoded = Optional.of(new Encoded(message, PeerMessageCodec.encode(message)));
         }
@@ -84,35 +84,35 @@
         return Optional.ofNullable(open.get(peer));
     }
 
-    void began(PeerConnection connection) {
-        all.add(connection);
-        if (whenEmpty.isPresent()) {
-            connection.closeInOrder();
+    void add(PeerConnection connection) {
+        connections.add(connection);
+        if (onEmpty.isPresent()) {
+            connection.closeGracefully();
         }
     }
 
     /** Returns why a further connection of a peer must not be opened; empty if it may be. */
-    Optional<LinkFaultKind> objection(LinkIdentity peer) {
-        PeerConnection present = open.get(peer.name());
-        if (present == null) {
+    Optional<LinkFaultKind> refusalReason(LinkIdentity peer) {
+        PeerConnection existing = open.get(peer.name());
+        if (existing == null) {
             return Optional.empty();
         }
-        long presentIncarnation = present.peer().orElseThrow().incarnation();
-        if (presentIncarnation < peer.incarnation()) {
+        long existingIncarnation = existing.peer().orElseThrow().incarnation();
+        if (existingIncarnation < peer.incarnation()) {
             return Optional.empty();
         }
-        if (presentIncarnation > peer.incarnation()) {
+        if (existingIncarnation > peer.incarnation()) {
             return Optional.of(LinkFaultKind.OLDER_INCARNATION);
         }
-        present.probe();
+        existing.probe();
         return Optional.of(LinkFaultKind.DUPLICATE);
     }
 
     /** Makes a connection the open one of its peer; ends that of an older process, if there is one. */
     void opened(PeerConnection connection, LinkIdentity peer) {
-        PeerConnection present = open.get(peer.name());
-        if (present != null) {
-            present.end(LinkFaultKind.REPLACED, "by incarnation " + peer.incarnation());
+        PeerConnection existing = open.get(peer.name());
+        if (existing != null) {
+            existing.end(LinkFaultKind.REPLACED, "by incarnation " + peer.incarnation());
         }
         open.put(peer.name(), connection);
         listener.connected(peer.name(), peer.incarnation());
@@ -120,7 +120,7 @@
 
     /** Reports the end of a connection: first its unsent messages, then the loss. */
     void ended(PeerConnection connection, List<PeerMessage> unsent) {
-        all.remove(connection);
+        connections.remove(connection);
         connection
                 .peer()
                 .map(LinkIdentity::name)
@@ -132,7 +132,7 @@
     private void reportLoss(NodeName peer, List<PeerMessage> unsent) {
         unsent.forEach(message -> listener.unsent(peer, message));
         listener.lost(peer);
-        whenLost.accept(peer);
+        onLost.accept(peer);
     }
 
     void received(NodeName from, PeerMessage message) {
@@ -144,7 +144,7 @@
     }
 
     void fault(LinkFault fault) {
-        counters.fault(fault.kind());
+        counters.countFault(fault.kind());
         listener.fault(fault);
     }
 
@@ -155,19 +155,21 @@
 
     /** Closes every connection to a peer, including those still in the handshake. */
     void close(NodeName peer) {
-        List.copyOf(all).stream().filter(connection -> connection.isWith(peer)).forEach(PeerConnection::closeInOrder);
+        List.copyOf(connections).stream()
+                .filter(connection -> connection.isConnectionTo(peer))
+                .forEach(PeerConnection::closeGracefully);
     }
 
     /** Closes every connection, and any that starts later; runs the action once none is left. */
     void closeAll(Runnable action) {
-        whenEmpty = Optional.of(action);
-        List.copyOf(all).forEach(PeerConnection::closeInOrder);
+        onEmpty = Optional.of(action);
+        List.copyOf(connections).forEach(PeerConnection::closeGracefully);
         checkEmpty();
     }
 
     private void checkEmpty() {
-        if (all.isEmpty()) {
-            whenEmpty.ifPresent(Runnable::run);
+        if (connections.isEmpty()) {
+            onEmpty.ifPresent(Runnable::run);
         }
     }
 }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/SendRing.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/SendRing.java
@@ -23,12 +23,12 @@
      * How many messages the event loop writes before it serves its sockets, so that a flood of sends can't starve
      * reads.
      */
-    private static final int MOST_PER_DRAIN = 512;
+    private static final int MAXIMUM_PER_DRAIN = 512;
 
-    private final MessagePassingQueue<Outgoing> queue;
+    private final MessagePassingQueue<OutgoingMessage> queue;
     private final PeerTable table;
     private final Executor eventLoop;
-    private final AtomicBoolean drainAhead = new AtomicBoolean();
+    private final AtomicBoolean drainScheduled = new AtomicBoolean();
     private volatile boolean stopped;
 
     SendRing(PeerTable table, Executor eventLoop) {
@@ -37,19 +37,19 @@
         this.eventLoop = eventLoop;
     }
 
-    void offer(Outgoing outgoing) {
+    void offer(OutgoingMessage outgoing) {
         if (!queue.offer(outgoing)) {
             table.unsent(outgoing.peer(), outgoing.message());
             return;
         }
         if (stopped) {
-            reportRest();
-        } else if (drainAhead.compareAndSet(false, true)) {
-            drainSoon();
+            reportRemaining();
+        } else if (drainScheduled.compareAndSet(false, true)) {
+            scheduleDrain();
         }
     }
 
-    private void drainSoon() {
+    private void scheduleDrain() {
         try {
             eventLoop.execute(this::drain);
         } catch (RejectedExecutionException e) {
@@ -60,18 +60,18 @@
     /** Writes the offered messages; runs on the event loop. */
     void drain() {
         // Cleared before the first poll, so that a message offered after the last poll schedules the next drain.
-        drainAhead.set(false);
+        drainScheduled.set(false);
         Set<PeerConnection> written = new HashSet<>();
-        for (int i = 0; i < MOST_PER_DRAIN; i++) {
-            Outgoing next = queue.poll();
+        for (int i = 0; i < MAXIMUM_PER_DRAIN; i++) {
+            OutgoingMessage next = queue.poll();
             if (next == null) {
                 break;
             }
             write(next).ifPresent(written::add);
         }
         written.forEach(PeerConnection::flush);
-        if (!queue.isEmpty() && drainAhead.compareAndSet(false, true)) {
-            drainSoon();
+        if (!queue.isEmpty() && drainScheduled.compareAndSet(false, true)) {
+            scheduleDrain();
         }
     }
 
@@ -82,27 +82,27 @@
         }
     }
 
-    private Optional<PeerConnection> write(Outgoing outgoing) {
+    private Optional<PeerConnection> write(OutgoingMessage outgoing) {
         Optional<PeerConnection> connection = table.open(outgoing.peer());
         if (connection.isPresent() && table.isBlocked(outgoing.peer())) {
-            table.counters().blocked();
+            table.counters().countBlocked();
             return Optional.empty();
         }
-        Optional<PeerConnection> taken = connection.filter(open -> open.send(outgoing.message()));
-        if (taken.isEmpty()) {
+        Optional<PeerConnection> accepted = connection.filter(open -> open.send(outgoing.message()));
+        if (accepted.isEmpty()) {
             table.unsent(outgoing.peer(), outgoing.message());
         }
-        return taken;
+        return accepted;
     }
 
     /** Reports the remaining and all later messages as unsent; called after the event loop has ended. */
     void stop() {
         stopped = true;
-        reportRest();
+        reportRemaining();
     }
 
-    private synchronized void reportRest() {
-        Outgoing next = queue.poll();
+    private synchronized void reportRemaining() {
+        OutgoingMessage next = queue.poll();
         while (next != null) {
             table.unsent(next.peer(), next.message());
             next = queue.poll();
--- a/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecPropertyTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecPropertyTest.java
@@ -34,7 +34,7 @@
     }
 
     @Property(seed = "1", tries = 2000)
-    void everyMessageComesBackEqual(@ForAll("messages") PeerMessage message)
+    void everyMessageSurvivesARoundTrip(@ForAll("messages") PeerMessage message)
             throws ProtocolFault, InvalidProtocolBufferException {
         byte[] bytes = PeerMessageCodec.encode(message).toByteArray();
         assertEquals(message, PeerMessageCodec.decode(Frame.parseFrom(bytes)));
@@ -64,7 +64,7 @@
      * of inferring the end of the body.
      */
     @Property(seed = "4", tries = 3000)
-    void anAlteredBodyIsNeverTakenForAnother(
+    void anAlteredBodyIsAlwaysDetected(
             @ForAll("messagesWithBody") PeerMessage message,
             @ForAll @IntRange(max = 100_000) int cutAt,
             @ForAll @IntRange(max = 100_000) int changeAt,
--- a/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecTest.java
@@ -71,7 +71,7 @@
         assertFault(kind, field, Frame.newBuilder().setPeerRequest(altered).build());
     }
 
-    private static PeerMessage passedOn(PeerMessage message) throws ProtocolFault {
+    private static PeerMessage roundTrip(PeerMessage message) throws ProtocolFault {
         return PeerMessageCodec.decode(PeerMessageCodec.encode(message));
     }
 
@@ -84,15 +84,15 @@
          * malformed input and close the connection, with all requests in flight on it.
          */
         @Test
-        void aDeadlineThatHasPassedTravelsAsNoTimeLeft() throws ProtocolFault {
-            assertEquals(request(0), passedOn(request(-5)));
+        void aPassedDeadlineIsSentAsZero() throws ProtocolFault {
+            assertEquals(request(0), roundTrip(request(-5)));
         }
 
         @Test
-        void theLongestDurationsAreShortenedBeforeTheyTravel() throws ProtocolFault {
+        void longDurationsAreClampedBeforeSending() throws ProtocolFault {
             Duration longest = Duration.ofDays(30);
-            assertEquals(request(longest.toNanos()), passedOn(request(Long.MAX_VALUE)));
-            assertEquals(answer(longest), passedOn(answer(Duration.ofSeconds(Long.MAX_VALUE))));
+            assertEquals(request(longest.toNanos()), roundTrip(request(Long.MAX_VALUE)));
+            assertEquals(answer(longest), roundTrip(answer(Duration.ofSeconds(Long.MAX_VALUE))));
         }
     }
 
@@ -100,7 +100,7 @@
     class MalformedRequests {
 
         @Test
-        void identifiersAndNamesAreNeeded() {
+        void identifiersAndNamesAreRequired() {
             assertRequestFault(Kind.MISSING, "attempt", PeerRequestFrame.Builder::clearAttempt);
             assertRequestFault(Kind.MISSING, "request", PeerRequestFrame.Builder::clearRequest);
             assertRequestFault(Kind.MISSING, "service", frame -> frame.setService(" "));
@@ -108,7 +108,7 @@
         }
 
         @Test
-        void numbersKeepTheirRange() {
+        void numbersOutOfRangeAreRefused() {
             assertRequestFault(Kind.OUT_OF_RANGE, "priority", frame -> frame.setPriority(Priority.MAXIMUM + 1));
             assertRequestFault(Kind.OUT_OF_RANGE, "priority", frame -> frame.setPriority(-1));
             assertRequestFault(Kind.OUT_OF_RANGE, "retry credits", frame -> frame.setRetryCredits(-1));
@@ -118,7 +118,7 @@
         }
 
         @Test
-        void purposesAreKnown() {
+        void unknownPurposesAreRefused() {
             assertRequestFault(Kind.UNKNOWN_CODE, "purpose", PeerRequestFrame.Builder::clearPurpose);
             assertRequestFault(Kind.UNKNOWN_CODE, "purpose", frame -> frame.setPurposeValue(99));
         }
@@ -140,7 +140,7 @@
          * request. Written to the copy unchanged, it would make the copy run a request that no caller made.
          */
         @Test
-        void headersAndPathsCarryNoLineEnds() {
+        void headersAndPathsWithLineBreaksAreRefused() {
             assertContentFault("path", "/a HTTP/1.1\r\nX: y", "name", "value");
             assertContentFault("header name", "/a", "name\n", "value");
             assertContentFault("header value", "/a", "name", "value\r\n\r\nPOST /bills HTTP/1.1");
@@ -156,7 +156,7 @@
     class OtherMalformedFrames {
 
         @Test
-        void greetingsAndEmptyFramesAreNoMessages() {
+        void emptyFramesAreNoMessages() {
             assertFault(Kind.UNEXPECTED_FRAME, "KIND_NOT_SET", Frame.getDefaultInstance());
         }
 
@@ -221,9 +221,9 @@
         }
 
         @Test
-        void aNodeMayAdmitNothing() throws ProtocolFault {
+        void aLoadReportMayAdmitNothing() throws ProtocolFault {
             LoadReport closed = new LoadReport(0, 1, 0, Priority.MAXIMUM + 1);
-            assertEquals(new Heartbeat(1, closed, Map.of()), passedOn(new Heartbeat(1, closed, Map.of())));
+            assertEquals(new Heartbeat(1, closed, Map.of()), roundTrip(new Heartbeat(1, closed, Map.of())));
         }
     }
 }
--- a/protocol/src/test/java/org/carawaysill/protocol/codec/RandomMessages.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/codec/RandomMessages.java
@@ -76,7 +76,7 @@
 /** Generates random messages of every kind; the least and greatest values are drawn more often than others. */
 record RandomMessages(RandomGenerator random) {
 
-    private static final long LONGEST_NANOS = Duration.ofDays(30).toNanos();
+    private static final long MAXIMUM_NANOS = Duration.ofDays(30).toNanos();
     private static final String CHARACTERS = "\u0000\t\r\n aZ0\u00e8\u0416\u20ac\uffff";
 
     PeerMessage next() {
@@ -90,21 +90,20 @@
             case 6 -> leaseReply();
             case 7 ->
                 new HolderHandover(
-                        service(), random.nextLong(), version(), version(), count(), count(), several(this::entry));
+                        service(), random.nextLong(), version(), version(), count(), count(), list(this::entry));
             case 8 -> new ConfigurationWanted(service(), version());
             case 9 -> new ConfigurationDocument(service(), version(), text());
             case 10 -> copyRequest();
             case 11 -> nodeReport();
             case 12 -> wanted();
             case 14 ->
-                new CopyAnswer(
-                        attempt(), outcome(), load(), several(() -> new SlotTime(service(), random.nextFloat())));
-            case 13 -> new Entries(version(), revision(), random.nextBoolean(), several(this::published));
+                new CopyAnswer(attempt(), outcome(), load(), list(() -> new SlotTime(service(), random.nextFloat())));
+            case 13 -> new Entries(version(), revision(), random.nextBoolean(), list(this::published));
             case 15 -> new ReportWanted();
             case 16 -> new GroupSummary(summary());
             case 17 -> new FleetSummary(summary());
-            case 18 -> new Suspicions(service(), several(this::suspicion));
-            default -> new ConfigurationChange(service(), version(), version(), several(this::edit), random.nextInt());
+            case 18 -> new Suspicions(service(), list(this::suspicion));
+            default -> new ConfigurationChange(service(), version(), version(), list(this::edit), random.nextInt());
         };
     }
 
@@ -117,12 +116,12 @@
                 new CallerName(word()),
                 new Priority(random.nextInt(Priority.MAXIMUM + 1)),
                 random.nextBoolean(),
-                maybe(this::text),
+                optional(this::text),
                 count(),
                 nanos(),
                 count(),
-                any(Purpose.values()),
-                new RequestContent(word(), "/" + word(), several(this::header), body()));
+                element(Purpose.values()),
+                new RequestContent(word(), "/" + word(), list(this::header), body()));
     }
 
     private CopyRequest copyRequest() {
@@ -132,14 +131,14 @@
                 service(),
                 new CopyName(word()),
                 service(),
-                maybe(() -> new OrganisationName(word())),
+                optional(() -> new OrganisationName(word())),
                 text(),
                 count(),
                 random.nextBoolean(),
                 count(),
                 nanos(),
                 nanos(),
-                new RequestContent(word(), "/" + word(), several(this::header), body()));
+                new RequestContent(word(), "/" + word(), list(this::header), body()));
     }
 
     private NodeReport nodeReport() {
@@ -153,17 +152,17 @@
                 random.nextFloat(),
                 random.nextBoolean(),
                 random.nextBoolean(),
-                several(() -> new RouteDemand(text(), organisationRank(), random.nextFloat(), random.nextFloat())),
-                several(() -> new RouteCost(text(), service(), random.nextFloat())),
-                several(this::use));
+                list(() -> new RouteDemand(text(), organisationRank(), random.nextFloat(), random.nextFloat())),
+                list(() -> new RouteCost(text(), service(), random.nextFloat())),
+                list(this::use));
     }
 
     private Suspicion suspicion() {
         return new Suspicion(
                 new Fingerprint(random.nextLong(), random.nextLong()),
-                Set.copyOf(several(random::nextLong)),
-                Set.copyOf(several(random::nextLong)),
-                Set.copyOf(several(random::nextLong)),
+                Set.copyOf(list(random::nextLong)),
+                Set.copyOf(list(random::nextLong)),
+                Set.copyOf(list(random::nextLong)),
                 count(),
                 nanos());
     }
@@ -173,8 +172,7 @@
     }
 
     private StateSummary summary() {
-        return new StateSummary(
-                publishedState(), several(this::nodeState), several(this::routeSummary), several(this::use));
+        return new StateSummary(publishedState(), list(this::nodeState), list(this::routeSummary), list(this::use));
     }
 
     private NodeState nodeState() {
@@ -193,8 +191,8 @@
     private RouteSummary routeSummary() {
         return new RouteSummary(
                 text(),
-                several(() -> new RankDemand(organisationRank(), random.nextFloat())),
-                several(() -> new ServiceCost(service(), random.nextFloat(), random.nextFloat())));
+                list(() -> new RankDemand(organisationRank(), random.nextFloat())),
+                list(() -> new ServiceCost(service(), random.nextFloat(), random.nextFloat())));
     }
 
     private EntriesWanted wanted() {
@@ -211,11 +209,11 @@
     private KnownEntry published() {
         EntryVersion.Stage[] stages = EntryVersion.Stage.values();
         EntryVersion entryVersion = new EntryVersion(version(), version(), stages[random.nextInt(stages.length)]);
-        return new KnownEntry(word(), revision(), entryVersion, maybe(this::text));
+        return new KnownEntry(word(), revision(), entryVersion, optional(this::text));
     }
 
     PeerAnswer answer() {
-        return new PeerAnswer(attempt(), outcome(), count(), load(), several(this::cut));
+        return new PeerAnswer(attempt(), outcome(), count(), load(), list(this::cut));
     }
 
     private LeaseRequest leaseRequest() {
@@ -231,7 +229,7 @@
                 random.nextLong(),
                 version(),
                 nanos(),
-                several(this::roster));
+                list(this::roster));
     }
 
     private LeaseReply leaseReply() {
@@ -239,18 +237,18 @@
                 service(),
                 member(),
                 version(),
-                any(LeaseVerdict.values()),
+                element(LeaseVerdict.values()),
                 random.nextBoolean(),
                 nanos(),
                 nanos(),
                 version(),
                 version(),
                 nanos(),
-                several(this::roster));
+                list(this::roster));
     }
 
     private RosterView roster() {
-        return new RosterView(version(), several(this::member));
+        return new RosterView(version(), list(this::member));
     }
 
     private RosterMember member() {
@@ -259,21 +257,25 @@
 
     private Outcome outcome() {
         return switch (random.nextInt(3)) {
-            case 0 -> new Outcome.Answered(new AnswerContent(100 + random.nextInt(500), several(this::header), body()));
+            case 0 -> new Outcome.Answered(new AnswerContent(100 + random.nextInt(500), list(this::header), body()));
             case 1 ->
                 new Outcome.NotRun(
-                        any(RefusalReason.values()), Duration.ofNanos(nanos()), any(Step.values()), maybe(this::node));
-            default -> new Outcome.Unknown(any(UnknownReason.values()), any(Step.values()), maybe(this::node));
+                        element(RefusalReason.values()),
+                        Duration.ofNanos(nanos()),
+                        element(Step.values()),
+                        optional(this::node));
+            default ->
+                new Outcome.Unknown(element(UnknownReason.values()), element(Step.values()), optional(this::node));
         };
     }
 
     private HolderEntry entry() {
         OptionalLong minted = random.nextBoolean() ? OptionalLong.of(version()) : OptionalLong.empty();
-        return new HolderEntry(requestIdentifier(), minted, random.nextInt(), maybe(this::outcome));
+        return new HolderEntry(requestIdentifier(), minted, random.nextInt(), optional(this::outcome));
     }
 
     private LineEdit edit() {
-        return new LineEdit(count(), count(), several(this::text));
+        return new LineEdit(count(), count(), list(this::text));
     }
 
     private ServiceCut cut() {
@@ -286,7 +288,7 @@
 
     private Map<ServiceName, Long> versions() {
         Map<ServiceName, Long> versions = new HashMap<>();
-        several(this::service).forEach(service -> versions.put(service, version()));
+        list(this::service).forEach(service -> versions.put(service, version()));
         return versions;
     }
 
@@ -329,7 +331,7 @@
     }
 
     private long nanos() {
-        return upTo(LONGEST_NANOS);
+        return upTo(MAXIMUM_NANOS);
     }
 
     private long upTo(long greatest) {
@@ -352,15 +354,15 @@
                 .toString();
     }
 
-    private <T> Optional<T> maybe(Supplier<T> values) {
+    private <T> Optional<T> optional(Supplier<T> values) {
         return random.nextBoolean() ? Optional.of(values.get()) : Optional.empty();
     }
 
-    private <T> List<T> several(Supplier<T> values) {
+    private <T> List<T> list(Supplier<T> values) {
         return Stream.generate(values).limit(random.nextInt(6)).toList();
     }
 
-    private <T> T any(T[] constants) {
+    private <T> T element(T[] constants) {
         return constants[random.nextInt(constants.length)];
     }
 }
--- a/protocol/src/test/java/org/carawaysill/protocol/link/HostileInputTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/HostileInputTest.java
@@ -36,41 +36,41 @@
 class HostileInputTest {
 
     private TestNode node;
-    private TestNode bystander;
+    private TestNode otherPeer;
 
     @BeforeEach
     void start() {
-        start(TestNode.PATIENT);
+        start(TestNode.LENIENT_LIMITS);
     }
 
     private void start(LinkLimits limits) {
         node = new TestNode("manifests-1", 1, limits);
-        bystander = TestNode.start("tracker-9");
-        bystander.connect(node);
+        otherPeer = TestNode.start("tracker-9");
+        otherPeer.connect(node);
     }
 
     @AfterEach
     void stop() {
-        exchange(node, bystander, 1);
-        assertEquals(0, node.losses(bystander.name));
-        bystander.close();
+        exchange(node, otherPeer, 1);
+        assertEquals(0, node.losses(otherPeer.name));
+        otherPeer.close();
         node.close();
     }
 
-    private void startImpatient() {
+    private void restartWithShortGreetingLimit() {
         stop();
-        start(TestNode.patient().greetingLimit(Duration.ofMillis(500)).build());
+        start(TestNode.lenientLimits().greetingLimit(Duration.ofMillis(500)).build());
     }
 
     private void assertFaultAndClose(LinkFaultKind kind, RawPeer peer) throws IOException {
-        node.heard.awaitFault(kind);
+        node.listener.awaitFault(kind);
         peer.awaitClosed();
         assertTrue(node.link.counters().faults(kind) > 0);
         peer.close();
     }
 
     @Nested
-    class InTheGreeting {
+    class DuringTheHandshake {
 
         private void assertRefused(LinkFaultKind kind, Frame first) throws IOException {
             RawPeer peer = RawPeer.dial(node);
@@ -99,17 +99,17 @@
         }
 
         @Test
-        void greetingsThatAreWrongAreRefusedAndTold() throws IOException {
+        void invalidHellosAreRefusedWithTheReason() throws IOException {
             assertRefused(LinkFaultKind.WRONG_MAGIC, PeerMessageCodec.encode(heartbeat(1)));
             assertRefused(LinkFaultKind.WRONG_MAGIC, hello(hello -> hello.setMagic(1)));
-            assertRefused(LinkFaultKind.WRONG_VERSION, hello(hello -> hello.setVersion(Greeting.VERSION + 1)));
+            assertRefused(LinkFaultKind.WRONG_VERSION, hello(hello -> hello.setVersion(HelloValidator.VERSION + 1)));
             assertRefused(LinkFaultKind.MALFORMED, hello(hello -> hello.setNode(" ")));
             assertRefused(LinkFaultKind.MALFORMED, hello(hello -> hello.setIncarnation(-1)));
         }
 
         @Test
-        void aDialledServerThatNeverGreetsIsLeftAndDialledAgain() throws IOException {
-            startImpatient();
+        void aServerThatSendsNoHelloIsDisconnectedAndDialledAgain() throws IOException {
+            restartWithShortGreetingLimit();
             try (ServerSocket silent = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
                 node.link.connect(new NodeName("tracker-1"), "127.0.0.1", silent.getLocalPort());
                 RawPeer first = new RawPeer(silent.accept());
@@ -119,13 +119,13 @@
         }
 
         @Test
-        void aConnectionThatNeverGreetsIsClosed() throws IOException {
-            startImpatient();
+        void aConnectionWithoutAHelloIsClosed() throws IOException {
+            restartWithShortGreetingLimit();
             assertFaultAndClose(LinkFaultKind.NO_HELLO, RawPeer.dial(node));
         }
 
         @Test
-        void messagesRightBehindTheGreetingAreTakenOnceItIsDone() throws IOException {
+        void messagesSentWithTheHelloAreReceivedAfterTheHandshake() throws IOException {
             RawPeer peer = RawPeer.dial(node);
             byte[] hello = RawPeer.hello("tracker-1", 1).toByteArray();
             byte[] message = PeerMessageCodec.encode(heartbeat(5)).toByteArray();
@@ -135,36 +135,36 @@
                     .putInt(message.length)
                     .put(message)
                     .array());
-            node.heard.await(new Report.Received(new NodeName("tracker-1"), heartbeat(5)));
+            node.listener.await(new Report.Received(new NodeName("tracker-1"), heartbeat(5)));
             peer.close();
         }
     }
 
     @Nested
-    class AfterTheGreeting {
+    class AfterTheHandshake {
 
         @Test
         void anOversizeFrameClosesItsConnection() throws IOException {
-            RawPeer peer = RawPeer.greet(node, "tracker-1", 1);
+            RawPeer peer = RawPeer.completeHandshake(node, "tracker-1", 1);
             peer.writeRaw(ByteBuffer.allocate(Integer.BYTES)
-                    .putInt(TestNode.PATIENT.maximumFrameBytes() + 1)
+                    .putInt(TestNode.LENIENT_LIMITS.maximumFrameBytes() + 1)
                     .array());
             assertFaultAndClose(LinkFaultKind.OVERSIZE, peer);
         }
 
         @Test
         void aMalformedMessageClosesItsConnection() throws IOException {
-            RawPeer peer = RawPeer.greet(node, "tracker-1", 1);
+            RawPeer peer = RawPeer.completeHandshake(node, "tracker-1", 1);
             peer.writeBytes(new byte[0]);
-            LinkFault fault = node.heard.awaitFault(LinkFaultKind.MALFORMED);
+            LinkFault fault = node.listener.awaitFault(LinkFaultKind.MALFORMED);
             assertEquals(new NodeName("tracker-1"), fault.peer().orElseThrow());
             assertFaultAndClose(LinkFaultKind.MALFORMED, peer);
-            node.heard.await(new Report.Lost(new NodeName("tracker-1")));
+            node.listener.await(new Report.Lost(new NodeName("tracker-1")));
         }
 
         @Test
-        void aSecondGreetingClosesItsConnection() throws IOException {
-            RawPeer peer = RawPeer.greet(node, "tracker-1", 1);
+        void aSecondHelloClosesItsConnection() throws IOException {
+            RawPeer peer = RawPeer.completeHandshake(node, "tracker-1", 1);
             peer.write(RawPeer.hello("tracker-9", 9));
             assertFaultAndClose(LinkFaultKind.MALFORMED, peer);
         }
@@ -181,7 +181,7 @@
             for (int i = 0; i < ROUNDS; i++) {
                 byte[] bytes = new byte[1 + random.nextInt(200)];
                 random.nextBytes(bytes);
-                writeAndLeave(RawPeer.dial(node), bytes);
+                writeAndClose(RawPeer.dial(node), bytes);
             }
         }
 
@@ -195,11 +195,11 @@
                         .put(message)
                         .array();
                 altered[random.nextInt(altered.length)] ^= (byte) (1 << random.nextInt(Byte.SIZE));
-                writeAndLeave(RawPeer.greet(node, "tracker-1", i), altered);
+                writeAndClose(RawPeer.completeHandshake(node, "tracker-1", i), altered);
             }
         }
 
-        private void writeAndLeave(RawPeer peer, byte[] bytes) throws IOException {
+        private void writeAndClose(RawPeer peer, byte[] bytes) throws IOException {
             try (peer) {
                 peer.writeRaw(bytes);
             } catch (SocketException e) {
--- a/protocol/src/test/java/org/carawaysill/protocol/link/LinkTrial.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/LinkTrial.java
@@ -45,14 +45,14 @@
     private static final int PACE_NANOS = 500_000;
     private static final int WINDOW = 64;
     private static final int ECHO_BYTES = 2600;
-    private static final NodeName ASKER = new NodeName("tracker-1");
-    private static final NodeName ANSWERER = new NodeName("manifests-1");
-    private static final List<Header> SOME_HEADERS =
+    private static final NodeName CLIENT = new NodeName("tracker-1");
+    private static final NodeName SERVER = new NodeName("manifests-1");
+    private static final List<Header> HEADER_FIELDS =
             Collections.nCopies(HEADERS, new Header("a-header-name", "some value of a header"));
     private static final Body BODY = Body.wrap(new byte[BODY_BYTES]);
 
     private final long[] sentAt = new long[SAMPLES];
-    private final long[] took = new long[SAMPLES];
+    private final long[] durations = new long[SAMPLES];
     private final Semaphore window = new Semaphore(0);
 
     private LinkTrial() {}
@@ -68,18 +68,18 @@
     }
 
     private void run() throws IOException {
-        PeerLink[] answerer = new PeerLink[1];
-        answerer[0] = link(ANSWERER, message -> answerer[0].send(ASKER, answer((PeerRequest) message)));
-        try (PeerLink answering = answerer[0];
-                PeerLink asking = link(ASKER, message -> answered((PeerAnswer) message))) {
-            int port = answering.start().join();
-            asking.start().join();
-            asking.connect(ANSWERER, "127.0.0.1", port);
+        PeerLink[] server = new PeerLink[1];
+        server[0] = link(SERVER, message -> server[0].send(CLIENT, answer((PeerRequest) message)));
+        try (PeerLink serverLink = server[0];
+                PeerLink clientLink = link(CLIENT, message -> answered((PeerAnswer) message))) {
+            int port = serverLink.start().join();
+            clientLink.start().join();
+            clientLink.connect(SERVER, "127.0.0.1", port);
             window.acquireUninterruptibly();
-            ask("warm-up", asking, SAMPLES, WINDOW, 0);
-            ask("one at a time", asking, SAMPLES, 1, 0);
-            ask(WINDOW + " at a time", asking, SAMPLES, WINDOW, 0);
-            ask("2,000 a second", asking, PACED_SAMPLES, WINDOW, PACE_NANOS);
+            measure("warm-up", clientLink, SAMPLES, WINDOW, 0);
+            measure("one at a time", clientLink, SAMPLES, 1, 0);
+            measure(WINDOW + " at a time", clientLink, SAMPLES, WINDOW, 0);
+            measure("2,000 a second", clientLink, PACED_SAMPLES, WINDOW, PACE_NANOS);
         }
         echo();
     }
@@ -93,7 +93,7 @@
                 .build();
     }
 
-    private void ask(String what, PeerLink link, int samples, int width, long pace) {
+    private void measure(String what, PeerLink link, int samples, int width, long pace) {
         window.release(width);
         long start = System.nanoTime();
         long processor = processorNanos();
@@ -103,7 +103,7 @@
                 LockSupport.parkNanos(pace / 10);
             }
             sentAt[i] = System.nanoTime();
-            link.send(ANSWERER, request(i));
+            link.send(SERVER, request(i));
         }
         window.acquireUninterruptibly(width);
         print(what, samples, System.nanoTime() - start, processorNanos() - processor);
@@ -116,12 +116,12 @@
 
     private void answered(PeerAnswer answer) {
         int sample = (int) answer.attempt().low();
-        took[sample] = System.nanoTime() - sentAt[sample];
+        durations[sample] = System.nanoTime() - sentAt[sample];
         window.release();
     }
 
     private void print(String what, int samples, long nanos, long processorNanos) {
-        long[] sorted = Arrays.copyOf(took, samples);
+        long[] sorted = Arrays.copyOf(durations, samples);
         Arrays.sort(sorted);
         System.out.printf(
                 "%-30s %,8.0f a second; us at 50%% %.1f, 99%% %.1f, 99.9%% %.1f; us of processor each %.1f%n",
@@ -148,7 +148,7 @@
                     long sent = System.nanoTime();
                     socket.getOutputStream().write(bytes);
                     input.readFully(bytes);
-                    took[i] = System.nanoTime() - sent;
+                    durations[i] = System.nanoTime() - sent;
                 }
                 print("blocking echo, one at a time", SAMPLES, System.nanoTime() - start, processorNanos() - processor);
             }
@@ -183,13 +183,13 @@
                 2_000_000_000L,
                 1,
                 Purpose.RUN,
-                new RequestContent("POST", "/bills/7/issue", SOME_HEADERS, BODY));
+                new RequestContent("POST", "/bills/7/issue", HEADER_FIELDS, BODY));
     }
 
     private static PeerAnswer answer(PeerRequest request) {
         return new PeerAnswer(
                 request.attempt(),
-                new Outcome.Answered(new AnswerContent(200, SOME_HEADERS, BODY)),
+                new Outcome.Answered(new AnswerContent(200, HEADER_FIELDS, BODY)),
                 2,
                 new LoadReport(1, 10, 0, 0),
                 List.of());
@@ -205,7 +205,7 @@
 
         @Override
         public void connected(NodeName peer, long incarnation) {
-            if (peer.equals(ANSWERER)) {
+            if (peer.equals(SERVER)) {
                 window.release();
             }
         }
--- a/protocol/src/test/java/org/carawaysill/protocol/link/LossTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/LossTest.java
@@ -46,30 +46,30 @@
     class Unsent {
 
         @Test
-        void messagesToAPeerWithoutConnectionComeBack() {
+        void messagesToAPeerWithoutConnectionAreReportedAsUnsent() {
             try (TestNode a = TestNode.start("manifests-1")) {
                 a.link.send(PEER, heartbeat(1));
-                a.heard.await(new Report.Unsent(PEER, heartbeat(1)));
+                a.listener.await(new Report.Unsent(PEER, heartbeat(1)));
             }
         }
 
         @Test
-        void messagesToAClosedLinkComeBack() {
+        void messagesToAClosedLinkAreReportedAsUnsent() {
             TestNode a = TestNode.start("manifests-1");
             a.close();
             a.link.send(PEER, heartbeat(1));
-            assertEquals(List.of(heartbeat(1)), a.heard.unsentMessages());
+            assertEquals(List.of(heartbeat(1)), a.listener.unsentMessages());
         }
 
         @Test
-        void aMessageLargerThanAFrameComesBackAndLeavesTheConnection() {
+        void anOversizeMessageIsReportedAsUnsentAndKeepsTheConnection() {
             try (TestNode a = TestNode.start("manifests-1");
                     TestNode b = TestNode.start("tracker-1")) {
                 a.connect(b);
-                PeerMessage large = document(1, TestNode.PATIENT.maximumFrameBytes());
+                PeerMessage large = document(1, TestNode.LENIENT_LIMITS.maximumFrameBytes());
                 a.send(b, large);
-                a.heard.await(new Report.Unsent(b.name, large));
-                a.heard.awaitFault(LinkFaultKind.OVERSIZE);
+                a.listener.await(new Report.Unsent(b.name, large));
+                a.listener.awaitFault(LinkFaultKind.OVERSIZE);
                 exchange(a, b, 2);
             }
         }
@@ -81,29 +81,29 @@
          * must be.
          */
         @Test
-        void afterAFrozenPeerWakesNothingUnsentHasArrived() throws IOException, ProtocolFault {
+        void noMessageReportedAsUnsentReachesAFrozenPeer() throws IOException, ProtocolFault {
             LinkLimits limits =
-                    TestNode.patient().drainLimit(Duration.ofMillis(300)).build();
+                    TestNode.lenientLimits().drainLimit(Duration.ofMillis(300)).build();
             try (TestNode a = new TestNode("manifests-1", 1, limits);
-                    RawPeer frozen = RawPeer.greet(a, "tracker-1", 1)) {
+                    RawPeer frozen = RawPeer.completeHandshake(a, "tracker-1", 1)) {
                 List<PeerMessage> sent = IntStream.range(0, 35)
                         .mapToObj(version -> document(version, 50_000))
                         .toList();
                 sent.forEach(message -> a.link.send(PEER, message));
                 assertEquals(
                         PEER,
-                        a.heard.awaitFault(LinkFaultKind.SLOW_READER).peer().orElseThrow());
-                a.heard.await(new Report.Lost(PEER));
+                        a.listener.awaitFault(LinkFaultKind.SLOW_READER).peer().orElseThrow());
+                a.listener.await(new Report.Lost(PEER));
                 List<Long> all = versions(sent);
                 ByteBuffer bytes = ByteBuffer.wrap(frozen.readAll());
                 List<Long> arrived = versions(wholeMessages(bytes));
                 int cutOff = bytes.hasRemaining() ? 1 : 0;
-                List<Long> unsent = versions(a.heard.unsentMessages());
+                List<Long> unsent = versions(a.listener.unsentMessages());
                 assertFalse(arrived.isEmpty());
                 assertFalse(unsent.isEmpty());
                 assertEquals(all.subList(0, arrived.size()), arrived);
                 assertEquals(all.subList(arrived.size() + cutOff, all.size()), unsent);
-                assertEquals(new Report.Lost(PEER), a.heard.reports().getLast());
+                assertEquals(new Report.Lost(PEER), a.listener.reports().getLast());
             }
         }
 
@@ -125,27 +125,28 @@
          */
         @Test
         void aPeerThatDoesNotReadGetsNoMoreThanTheHighWaterMark() throws IOException {
-            LinkLimits limits = TestNode.patient().highWaterMarkBytes(200_000).build();
+            LinkLimits limits =
+                    TestNode.lenientLimits().highWaterMarkBytes(200_000).build();
             try (TestNode a = new TestNode("manifests-1", 1, limits);
-                    RawPeer _ = RawPeer.greet(a, "tracker-1", 1)) {
+                    RawPeer _ = RawPeer.completeHandshake(a, "tracker-1", 1)) {
                 IntStream.range(0, 200).forEach(version -> a.link.send(PEER, document(version, 50_000)));
-                a.heard.await(_ -> a.heard.unsentMessages().contains(document(199, 50_000)));
+                a.listener.await(_ -> a.listener.unsentMessages().contains(document(199, 50_000)));
                 assertEquals(0, a.losses(PEER));
             }
         }
 
         @Test
-        void everyMessageIsDeliveredOrComesBackWhenTheRingIsFull() {
-            LinkLimits limits = TestNode.patient().ringCapacity(2).build();
+        void everyMessageIsDeliveredOrReportedAsUnsentWhenTheRingIsFull() {
+            LinkLimits limits = TestNode.lenientLimits().ringCapacity(2).build();
             try (TestNode a = new TestNode("manifests-1", 1, limits);
                     TestNode b = TestNode.start("tracker-1")) {
                 a.connect(b);
                 int sent = 20_000;
                 IntStream.range(0, sent).forEach(i -> a.send(b, heartbeat(i)));
-                b.heard.await(_ -> b.heard.receivedMessages().size()
-                                + a.heard.unsentMessages().size()
+                b.listener.await(_ -> b.listener.receivedMessages().size()
+                                + a.listener.unsentMessages().size()
                         == sent);
-                assertFalse(a.heard.unsentMessages().isEmpty());
+                assertFalse(a.listener.unsentMessages().isEmpty());
             }
         }
     }
@@ -160,15 +161,15 @@
         @Test
         void aMessageCutInTheMiddleIsNotReceived() throws IOException {
             try (TestNode a = TestNode.start("manifests-1")) {
-                RawPeer peer = RawPeer.greet(a, "tracker-1", 1);
+                RawPeer peer = RawPeer.completeHandshake(a, "tracker-1", 1);
                 peer.write(PeerMessageCodec.encode(heartbeat(1)));
                 byte[] frame = PeerMessageCodec.encode(document(2, 5000)).toByteArray();
                 peer.writeRaw(new byte[] {0, 0, (byte) (frame.length >> 8), (byte) frame.length});
                 peer.writeRaw(Arrays.copyOf(frame, 3000));
-                a.heard.await(new Report.Received(PEER, heartbeat(1)));
+                a.listener.await(new Report.Received(PEER, heartbeat(1)));
                 peer.close();
-                a.heard.await(new Report.Lost(PEER));
-                assertEquals(List.of(heartbeat(1)), a.heard.receivedMessages());
+                a.listener.await(new Report.Lost(PEER));
+                assertEquals(List.of(heartbeat(1)), a.listener.receivedMessages());
             }
         }
 
@@ -180,13 +181,13 @@
                 b.dial(a);
                 for (int i = 1; i <= 10; i++) {
                     int rounds = i;
-                    a.heard.await(_ -> a.connections(b.name) == rounds && a.isConnected(b.name));
-                    b.heard.await(_ -> b.connections(a.name) >= rounds && b.isConnected(a.name));
+                    a.listener.await(_ -> a.connections(b.name) == rounds && a.isConnected(b.name));
+                    b.listener.await(_ -> b.connections(a.name) >= rounds && b.isConnected(a.name));
                     a.link.disconnect(b.name);
-                    a.heard.await(_ -> a.losses(b.name) == rounds);
+                    a.listener.await(_ -> a.losses(b.name) == rounds);
                     a.dial(b);
                 }
-                List<Report> turns = a.heard.reports().stream()
+                List<Report> turns = a.listener.reports().stream()
                         .filter(report -> report instanceof Report.Connected || report instanceof Report.Lost)
                         .toList();
                 for (int i = 0; i < turns.size(); i++) {
@@ -218,9 +219,9 @@
                 });
                 a.link.disconnect(b.name);
                 a.close();
-                b.heard.await(new Report.Lost(a.name));
-                assertEquals(versions(answers), versions(b.heard.receivedMessages()));
-                assertEquals(List.of(), a.heard.unsentMessages());
+                b.listener.await(new Report.Lost(a.name));
+                assertEquals(versions(answers), versions(b.listener.receivedMessages()));
+                assertEquals(List.of(), a.listener.unsentMessages());
             }
         }
 
@@ -231,9 +232,9 @@
                 a.connect(b);
                 a.send(b, heartbeat(1));
                 a.link.disconnect(b.name);
-                a.heard.await(new Report.Lost(b.name));
-                b.heard.await(new Report.Lost(a.name));
-                assertEquals(List.of(heartbeat(1)), b.heard.receivedMessages());
+                a.listener.await(new Report.Lost(b.name));
+                b.listener.await(new Report.Lost(a.name));
+                assertEquals(List.of(heartbeat(1)), b.listener.receivedMessages());
                 b.dial(a);
                 b.awaitConnected(a);
                 assertEquals(1, b.losses(a.name));
--- a/protocol/src/test/java/org/carawaysill/protocol/link/PeerLinkTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/PeerLinkTest.java
@@ -32,16 +32,16 @@
 
     static void exchange(TestNode a, TestNode b, long sequence) {
         a.send(b, heartbeat(sequence));
-        b.heard.await(new Report.Received(a.name, heartbeat(sequence)));
+        b.listener.await(new Report.Received(a.name, heartbeat(sequence)));
         b.send(a, heartbeat(sequence));
-        a.heard.await(new Report.Received(b.name, heartbeat(sequence)));
+        a.listener.await(new Report.Received(b.name, heartbeat(sequence)));
     }
 
     @Nested
     class Connecting {
 
         @Test
-        void carriesMessagesBothWaysWhoeverDialled() {
+        void carriesMessagesBothWaysWhicheverSideDialled() {
             try (TestNode a = TestNode.start("manifests-1");
                     TestNode b = TestNode.start("tracker-1");
                     TestNode c = TestNode.start("aaa-1")) {
@@ -63,8 +63,8 @@
                         .<PeerMessage>mapToObj(PeerLinkTest::heartbeat)
                         .toList();
                 sent.forEach(message -> a.send(b, message));
-                b.heard.await(_ -> b.heard.receivedMessages().size() == sent.size());
-                assertEquals(sent, b.heard.receivedMessages());
+                b.listener.await(_ -> b.listener.receivedMessages().size() == sent.size());
+                assertEquals(sent, b.listener.receivedMessages());
             }
         }
 
@@ -91,17 +91,17 @@
         }
 
         @Test
-        void dialsAgainUntilThePeerIsThere() {
+        void dialsAgainUntilThePeerIsReachable() {
             try (TestNode a = TestNode.start("manifests-1")) {
                 int port;
                 try (TestNode gone = TestNode.start("tracker-1")) {
                     port = gone.port;
                     a.connect(gone);
                 }
-                a.heard.awaitFault(LinkFaultKind.UNREACHABLE);
-                try (TestNode back = new TestNode("tracker-1", 2, TestNode.PATIENT, port)) {
+                a.listener.awaitFault(LinkFaultKind.UNREACHABLE);
+                try (TestNode back = new TestNode("tracker-1", 2, TestNode.LENIENT_LIMITS, port)) {
                     back.awaitConnected(a);
-                    a.heard.await(new Report.Connected(back.name, 2));
+                    a.listener.await(new Report.Connected(back.name, 2));
                     exchange(a, back, 1);
                 }
             }
@@ -113,7 +113,7 @@
                     TestNode gone = TestNode.start("tracker-1")) {
                 gone.close();
                 a.dial(gone);
-                a.heard.awaitFault(LinkFaultKind.UNREACHABLE);
+                a.listener.awaitFault(LinkFaultKind.UNREACHABLE);
                 try (TestNode moved = TestNode.start("tracker-1")) {
                     a.dial(moved);
                     a.awaitConnected(moved);
@@ -124,7 +124,9 @@
         @Test
         void aPortInUseFailsTheStart() {
             try (TestNode a = TestNode.start("manifests-1")) {
-                assertThrows(CompletionException.class, () -> new TestNode("manifests-2", 1, TestNode.PATIENT, a.port));
+                assertThrows(
+                        CompletionException.class,
+                        () -> new TestNode("manifests-2", 1, TestNode.LENIENT_LIMITS, a.port));
             }
         }
     }
@@ -137,36 +139,36 @@
          * paused old one still looks alive. The process that started later must replace it.
          */
         @Test
-        void theNewerProcessTakesThePlaceOfTheOlder() {
+        void theNewerProcessReplacesTheOlder() {
             try (TestNode a = TestNode.start("manifests-1");
-                    TestNode older = new TestNode("tracker-1", 1, TestNode.PATIENT);
-                    TestNode newer = new TestNode("tracker-1", 2, TestNode.PATIENT)) {
+                    TestNode older = new TestNode("tracker-1", 1, TestNode.LENIENT_LIMITS);
+                    TestNode newer = new TestNode("tracker-1", 2, TestNode.LENIENT_LIMITS)) {
                 older.connect(a);
                 newer.connect(a);
-                a.heard.await(new Report.Connected(newer.name, 2));
-                a.heard.awaitFault(LinkFaultKind.REPLACED);
-                older.heard.await(new Report.Lost(a.name));
+                a.listener.await(new Report.Connected(newer.name, 2));
+                a.listener.awaitFault(LinkFaultKind.REPLACED);
+                older.listener.await(new Report.Lost(a.name));
                 exchange(a, newer, 1);
                 assertEquals(
                         List.of(
                                 new Report.Connected(older.name, 1),
                                 new Report.Lost(older.name),
                                 new Report.Connected(newer.name, 2)),
-                        a.heard.reports().stream()
+                        a.listener.reports().stream()
                                 .filter(report -> report instanceof Report.Connected || report instanceof Report.Lost)
                                 .toList());
             }
         }
 
         @Test
-        void theOlderProcessDoesNotComeBack() {
+        void theOlderProcessIsRefused() {
             try (TestNode a = TestNode.start("manifests-1");
-                    TestNode newer = new TestNode("tracker-1", 2, TestNode.PATIENT);
-                    TestNode older = new TestNode("tracker-1", 1, TestNode.PATIENT)) {
+                    TestNode newer = new TestNode("tracker-1", 2, TestNode.LENIENT_LIMITS);
+                    TestNode older = new TestNode("tracker-1", 1, TestNode.LENIENT_LIMITS)) {
                 newer.connect(a);
                 older.dial(a);
-                a.heard.awaitFault(LinkFaultKind.OLDER_INCARNATION);
-                LinkFault refusal = older.heard.awaitFault(LinkFaultKind.REFUSED_BY_PEER);
+                a.listener.awaitFault(LinkFaultKind.OLDER_INCARNATION);
+                LinkFault refusal = older.listener.awaitFault(LinkFaultKind.REFUSED_BY_PEER);
                 assertTrue(refusal.detail().contains("OLDER_INCARNATION"), refusal.detail());
                 exchange(a, newer, 1);
                 assertEquals(0, older.connections(a.name));
@@ -181,8 +183,8 @@
                     TestNode second = TestNode.start("tracker-1")) {
                 first.connect(a);
                 second.dial(a);
-                a.heard.awaitFault(LinkFaultKind.DUPLICATE);
-                second.heard.awaitFault(LinkFaultKind.REFUSED_BY_PEER);
+                a.listener.awaitFault(LinkFaultKind.DUPLICATE);
+                second.listener.awaitFault(LinkFaultKind.REFUSED_BY_PEER);
                 exchange(a, first, 1);
                 assertEquals(0, second.connections(a.name));
                 assertEquals(0, a.losses(first.name));
@@ -195,27 +197,27 @@
          * the dead one.
          */
         @Test
-        void aSilentConnectionGivesWayToANewOneOfTheSameProcess() throws IOException {
+        void anUnresponsiveConnectionIsReplacedByANewOneOfTheSameProcess() throws IOException {
             LinkLimits limits =
-                    TestNode.patient().probeLimit(Duration.ofMillis(300)).build();
+                    TestNode.lenientLimits().probeLimit(Duration.ofMillis(300)).build();
             try (TestNode a = new TestNode("manifests-1", 1, limits);
-                    RawPeer silent = RawPeer.greet(a, "tracker-1", 1);
+                    RawPeer silent = RawPeer.completeHandshake(a, "tracker-1", 1);
                     TestNode b = TestNode.start("tracker-1")) {
                 b.dial(a);
-                a.heard.awaitFault(LinkFaultKind.DUPLICATE);
+                a.listener.awaitFault(LinkFaultKind.DUPLICATE);
                 assertEquals(Frame.KindCase.PROBE, silent.read().getKindCase());
-                a.heard.awaitFault(LinkFaultKind.UNRESPONSIVE);
+                a.listener.awaitFault(LinkFaultKind.UNRESPONSIVE);
                 b.awaitConnected(a);
                 exchange(a, b, 1);
             }
         }
 
         @Test
-        void aNodeDoesNotTalkToItsOwnName() {
+        void aNodeRefusesAPeerWithItsOwnName() {
             try (TestNode a = TestNode.start("manifests-1");
                     TestNode other = TestNode.start("manifests-1")) {
                 a.link.connect(new NodeName("tracker-1"), "127.0.0.1", other.port);
-                other.heard.awaitFault(LinkFaultKind.OWN_NAME);
+                other.listener.awaitFault(LinkFaultKind.OWN_NAME);
             }
         }
 
@@ -224,12 +226,12 @@
          * another name, which is then dialled instead.
          */
         @Test
-        void aNodeThatIsNotTheOneDialledIsLeft() {
+        void aNodeWithAnotherNameThanDialledIsDisconnected() {
             try (TestNode a = TestNode.start("manifests-1");
                     TestNode b = TestNode.start("tracker-1")) {
                 a.link.connect(new NodeName("tracker-9"), "127.0.0.1", b.port);
-                a.heard.awaitFault(LinkFaultKind.WRONG_PEER);
-                assertEquals(0, a.heard.of(Report.Connected.class).size());
+                a.listener.awaitFault(LinkFaultKind.WRONG_PEER);
+                assertEquals(0, a.listener.of(Report.Connected.class).size());
             }
         }
     }
@@ -238,7 +240,7 @@
     class Blocking {
 
         @Test
-        void blockedPeersStayConnectedButHearNothingUntilUnblocked() {
+        void blockedPeersStayConnectedButReceiveNothingUntilUnblocked() {
             try (TestNode a = TestNode.start("manifests-1");
                     TestNode b = TestNode.start("tracker-1");
                     TestNode c = TestNode.start("tracker-2")) {
@@ -248,18 +250,18 @@
                 a.send(b, heartbeat(1));
                 b.send(a, heartbeat(2));
                 exchange(a, c, 3);
-                a.heard.await(_ -> a.link.counters().blockedFrames() == 2);
+                a.listener.await(_ -> a.link.counters().blockedFrames() == 2);
                 a.link.block(Set.of());
                 exchange(a, b, 4);
                 assertEquals(List.of(heartbeat(4)), heartbeatsFrom(a, b));
                 assertEquals(List.of(heartbeat(4)), heartbeatsFrom(b, a));
-                assertEquals(List.of(), a.heard.unsentMessages());
+                assertEquals(List.of(), a.listener.unsentMessages());
                 assertEquals(0, a.losses(b.name) + b.losses(a.name));
             }
         }
 
         private List<PeerMessage> heartbeatsFrom(TestNode from, TestNode to) {
-            return to.heard.of(Report.Received.class).stream()
+            return to.listener.of(Report.Received.class).stream()
                     .filter(report -> report.from().equals(from.name))
                     .map(Report.Received::message)
                     .toList();
@@ -267,15 +269,16 @@
 
         @Test
         void aBlockedPeerCantConnect() {
-            LinkLimits limits =
-                    TestNode.patient().greetingLimit(Duration.ofMillis(500)).build();
+            LinkLimits limits = TestNode.lenientLimits()
+                    .greetingLimit(Duration.ofMillis(500))
+                    .build();
             try (TestNode a = new TestNode("manifests-1", 1, limits);
                     TestNode b = new TestNode("tracker-1", 1, limits)) {
                 a.link.block(Set.of(b.name));
                 a.dial(b);
                 b.dial(a);
-                a.heard.awaitFault(LinkFaultKind.NO_HELLO);
-                b.heard.awaitFault(LinkFaultKind.NO_HELLO);
+                a.listener.awaitFault(LinkFaultKind.NO_HELLO);
+                b.listener.awaitFault(LinkFaultKind.NO_HELLO);
                 assertEquals(0, a.connections(b.name) + b.connections(a.name));
                 a.link.block(Set.of());
                 a.awaitConnected(b);
--- a/protocol/src/test/java/org/carawaysill/protocol/link/RawPeer.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/RawPeer.java
@@ -12,7 +12,7 @@
 /** The other end of a connection as a plain socket, with which a test can send input that no link would send. */
 final class RawPeer implements AutoCloseable {
 
-    private static final int PATIENCE_MILLIS = 30_000;
+    private static final int TIMEOUT_MILLIS = 30_000;
 
     private final Socket socket;
     private final DataInputStream input;
@@ -20,7 +20,7 @@
 
     RawPeer(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         input = new DataInputStream(socket.getInputStream());
         output = new DataOutputStream(socket.getOutputStream());
     }
@@ -34,7 +34,7 @@
     }
 
     /** Completes the handshake with a node whose name is the lesser one, so that messages may follow. */
-    static RawPeer greet(TestNode node, String name, long incarnation) throws IOException {
+    static RawPeer completeHandshake(TestNode node, String name, long incarnation) throws IOException {
         RawPeer peer = dial(node);
         peer.write(hello(name, incarnation));
         peer.read();
--- a/protocol/src/test/java/org/carawaysill/protocol/link/RecordingListener.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/RecordingListener.java
@@ -25,7 +25,7 @@
         record Faulted(LinkFault fault) implements Report {}
     }
 
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     /** Conditions are polled, since they may also depend on state that is not reported here, such as counters. */
     private static final long POLL_MILLIS = 20;
@@ -96,7 +96,7 @@
     }
 
     synchronized void await(Predicate<List<Report>> condition) {
-        long end = System.nanoTime() + PATIENCE.toNanos();
+        long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.test(List.copyOf(reports))) {
             long left = (end - System.nanoTime()) / 1_000_000;
             if (left <= 0) {
--- a/protocol/src/test/java/org/carawaysill/protocol/link/TestNode.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/link/TestNode.java
@@ -11,12 +11,12 @@
 final class TestNode implements AutoCloseable {
 
     /** Limits that are not reached by accident on a busy machine; only the redial delays are short. */
-    static final LinkLimits PATIENT = patient().build();
+    static final LinkLimits LENIENT_LIMITS = lenientLimits().build();
 
     private static final long SEED = 7;
 
     final NodeName name;
-    final RecordingListener heard = new RecordingListener();
+    final RecordingListener listener = new RecordingListener();
     final PeerLink link;
     final int port;
 
@@ -33,24 +33,24 @@
                 .host("127.0.0.1")
                 .port(port)
                 .limits(limits)
-                .listener(heard)
+                .listener(listener)
                 .random(new SplittableRandom(SEED))
                 .build();
         this.port = link.start().join();
     }
 
-    static LinkLimits.Builder patient() {
-        Duration patience = Duration.ofSeconds(30);
+    static LinkLimits.Builder lenientLimits() {
+        Duration limit = Duration.ofSeconds(30);
         return LinkLimits.builder()
-                .greetingLimit(patience)
-                .drainLimit(patience)
-                .probeLimit(patience)
+                .greetingLimit(limit)
+                .drainLimit(limit)
+                .probeLimit(limit)
                 .closingLimit(Duration.ofSeconds(10))
                 .redial(Duration.ofMillis(5), Duration.ofMillis(50));
     }
 
     static TestNode start(String name) {
-        return new TestNode(name, 1, PATIENT);
+        return new TestNode(name, 1, LENIENT_LIMITS);
     }
 
     void dial(TestNode peer) {
@@ -64,7 +64,7 @@
     }
 
     void awaitConnected(TestNode peer) {
-        heard.await(_ -> isConnected(peer.name));
+        listener.await(_ -> isConnected(peer.name));
     }
 
     boolean isConnected(NodeName peer) {
@@ -72,13 +72,13 @@
     }
 
     long connections(NodeName peer) {
-        return heard.of(Report.Connected.class).stream()
+        return listener.of(Report.Connected.class).stream()
                 .filter(report -> report.peer().equals(peer))
                 .count();
     }
 
     long losses(NodeName peer) {
-        return heard.of(Report.Lost.class).stream()
+        return listener.of(Report.Lost.class).stream()
                 .filter(report -> report.peer().equals(peer))
                 .count();
     }
