--- a/model/src/main/java/org/carawaysill/model/configuration/OperationIndex.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/OperationIndex.java
@@ -52,7 +52,7 @@
      * @param later the later operation
      * @return the earlier operation
      */
-    Optional<CompiledOperation> cover(CompiledOperation later) {
+    Optional<CompiledOperation> findCovering(CompiledOperation later) {
         List<CompiledOperation> candidates =
                 later.path().firstLiteral().map(this::candidates).orElse(withoutFirstSegment);
         return candidates.stream().filter(earlier -> earlier.covers(later)).findFirst();
--- a/model/src/main/java/org/carawaysill/model/configuration/OperationsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/OperationsReader.java
@@ -24,7 +24,7 @@
 
     private final DistinctValues<String> names;
     private final LabelsReader labels;
-    private final OperationIndex earlier = new OperationIndex();
+    private final OperationIndex index = new OperationIndex();
 
     OperationsReader(FaultCollector faults) {
         names = new DistinctValues<>("operation name", faults);
@@ -63,10 +63,10 @@
     }
 
     private void checkReachable(TableReader table, CompiledOperation operation) {
-        earlier.cover(operation)
-                .ifPresent(cover -> table.fault(
+        index.findCovering(operation)
+                .ifPresent(covering -> table.fault(
                         "path",
-                        "never matches, for operation " + cover.operation().name() + " takes all of its requests"));
-        earlier.add(operation);
+                        "never matches, for operation " + covering.operation().name() + " takes all of its requests"));
+        index.add(operation);
     }
 }
--- a/model/src/main/java/org/carawaysill/model/configuration/PathPattern.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/PathPattern.java
@@ -13,8 +13,8 @@
  */
 final class PathPattern {
 
-    static final String ONE = "*";
-    static final String REST = "**";
+    static final String ONE_SEGMENT = "*";
+    static final String REMAINING_SEGMENTS = "**";
     private static final char SEPARATOR = '/';
 
     private final String text;
@@ -38,12 +38,14 @@
         for (int i = 0; i < written.length; i++) {
             checkSegment(written[i], i == written.length - 1);
         }
-        openEnded = written[written.length - 1].equals(REST);
+        openEnded = written[written.length - 1].equals(REMAINING_SEGMENTS);
         segments = openEnded ? Arrays.copyOf(written, written.length - 1) : written;
     }
 
     private static void checkSegment(String segment, boolean last) {
-        boolean wellFormed = !segment.contains(ONE) || segment.equals(ONE) || last && segment.equals(REST);
+        boolean wellFormed = !segment.contains(ONE_SEGMENT)
+                || segment.equals(ONE_SEGMENT)
+                || last && segment.equals(REMAINING_SEGMENTS);
         if (!wellFormed) {
             throw new IllegalArgumentException(
                     "a * stands for a whole segment and ** for the rest at the end, found segment \"" + segment + '"');
@@ -60,7 +62,7 @@
 
     /** Returns the literal first segment that every matching path has, if the pattern has one. */
     Optional<String> firstLiteral() {
-        return segments.length == 0 || segments[0].equals(ONE) ? Optional.empty() : Optional.of(segments[0]);
+        return segments.length == 0 || segments[0].equals(ONE_SEGMENT) ? Optional.empty() : Optional.of(segments[0]);
     }
 
     /** Returns the first segment of a path, with or without its query; empty if the path has none. */
@@ -105,7 +107,7 @@
             return false;
         }
         for (int i = 0; i < segments.length; i++) {
-            if (!segments[i].equals(ONE) && !segments[i].equals(other.segments[i])) {
+            if (!segments[i].equals(ONE_SEGMENT) && !segments[i].equals(other.segments[i])) {
                 return false;
             }
         }
@@ -123,7 +125,7 @@
     }
 
     private static boolean segmentMatches(String segment, String path, int start, int end) {
-        if (segment.equals(ONE)) {
+        if (segment.equals(ONE_SEGMENT)) {
             return end > start && !isDotSegment(path, start, end);
         }
         return segment.length() == end - start && path.startsWith(segment, start);
--- a/model/src/main/java/org/carawaysill/model/configuration/RequestClassifier.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/RequestClassifier.java
@@ -13,12 +13,12 @@
  * Classifies requests by the configuration of one service: determines the first operation that matches, then takes each
  * term from the first matching selector that states it.
  *
- * <p>Selectors are evaluated once per pair of operation and caller; the results of the {@value #REMEMBERED} most
+ * <p>Selectors are evaluated once per pair of operation and caller; the results of the {@value #CACHE_SIZE} most
  * recently used pairs are cached. Not thread safe: used by the policy's thread only.
  */
 public final class RequestClassifier {
 
-    private static final int REMEMBERED = 4096;
+    private static final int CACHE_SIZE = 4096;
     private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
 
@@ -26,7 +26,7 @@
     private final OperationIndex operations = new OperationIndex();
     private final List<CompiledSelector> selectors;
     private final Map<CallerName, CallerEntry> callers = new HashMap<>();
-    private final Map<OperationCaller, Classification> remembered = new RecentClassifications();
+    private final Map<OperationCaller, Classification> cache = new ClassificationCache();
 
     /**
      * Creates a classifier.
@@ -63,12 +63,12 @@
 
     private Classification classification(CompiledOperation operation, CallerName caller) {
         OperationCaller pair = new OperationCaller(operation.index(), caller);
-        Classification known = remembered.get(pair);
-        if (known != null) {
-            return known;
+        Classification cached = cache.get(pair);
+        if (cached != null) {
+            return cached;
         }
         Classification evaluated = evaluate(operation.operation(), caller);
-        remembered.put(pair, evaluated);
+        cache.put(pair, evaluated);
         return evaluated;
     }
 
@@ -105,15 +105,15 @@
      * <p>The bound protects the memory of the node against clients that use a new caller name for each request; each
      * request of such a client costs an evaluation.
      */
-    private static final class RecentClassifications extends LinkedHashMap<OperationCaller, Classification> {
+    private static final class ClassificationCache extends LinkedHashMap<OperationCaller, Classification> {
 
-        private RecentClassifications() {
+        private ClassificationCache() {
             super(INITIAL_CAPACITY, LOAD_FACTOR, true);
         }
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<OperationCaller, Classification> eldest) {
-            return size() > REMEMBERED;
+            return size() > CACHE_SIZE;
         }
     }
 }
--- a/model/src/main/java/org/carawaysill/model/configuration/SelectorsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/SelectorsReader.java
@@ -62,7 +62,7 @@
         name.ifPresent(names::add);
         Map<String, Located<String>> match = table.textTable("match");
         Selector selector = TermsReader.selector(table, name.map(Located::value).orElse(""), values(match));
-        if (TermsReader.statesNothing(table)) {
+        if (TermsReader.statesNoTerm(table)) {
             table.fault("states no term: give importance, idempotent, retry-credits or deadline");
         }
         table.reportUnknownKeys();
--- a/model/src/main/java/org/carawaysill/model/configuration/ServiceConfigurationParser.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/ServiceConfigurationParser.java
@@ -26,7 +26,7 @@
     private static final NameFormat<ServiceName> SERVICE = new NameFormat<>(ServiceName::new);
     private static final NameFormat<CallerName> CALLER = new NameFormat<>(CallerName::new);
     private static final int MAXIMUM_CALLERS = 10_000;
-    private static final ServiceName NO_SERVICE = new ServiceName("-");
+    private static final ServiceName PLACEHOLDER_SERVICE = new ServiceName("-");
     private static final DurationFormat KEY_LIFETIME = new DurationFormat(Duration.ofMinutes(1), Duration.ofHours(24));
 
     private final long version;
@@ -55,7 +55,7 @@
 
     private ServiceConfiguration readDocument(TableReader document) {
         ServiceName service =
-                document.requiredValue("service", SERVICE).map(Located::value).orElse(NO_SERVICE);
+                document.requiredValue("service", SERVICE).map(Located::value).orElse(PLACEHOLDER_SERVICE);
         Labels labels = new LabelsReader(RequestLabels.NAME, faults).read(document);
         List<ServiceName> calls = readCalls(document, service);
         List<CopyEntry> copies = new RosterReader(faults).read(document);
@@ -111,11 +111,11 @@
 
     private static void readLimits(TableReader document, ServiceConfigurationBuilder builder) {
         document.table("limits").ifPresent(table -> {
-            ServiceLimits otherwise = ServiceLimits.DEFAULTS;
-            double retryBudget = table.number("retry-budget", 0, 1).orElse(otherwise.retryBudget());
+            ServiceLimits fallback = ServiceLimits.DEFAULTS;
+            double retryBudget = table.number("retry-budget", 0, 1).orElse(fallback.retryBudget());
             Duration keyLifetime = table.value("key-lifetime", KEY_LIFETIME)
                     .map(Located::value)
-                    .orElse(otherwise.keyLifetime());
+                    .orElse(fallback.keyLifetime());
             builder.limits(new ServiceLimits(retryBudget, keyLifetime));
             table.reportUnknownKeys();
         });
--- a/model/src/main/java/org/carawaysill/model/configuration/TermsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/TermsReader.java
@@ -37,16 +37,16 @@
     }
 
     static RequestTerms defaults(TableReader table) {
-        RequestTerms otherwise = ServiceConfigurationBuilder.DEFAULT_TERMS;
+        RequestTerms fallback = ServiceConfigurationBuilder.DEFAULT_TERMS;
         Selector stated = selector(table, "defaults", Map.of());
         return new RequestTerms(
-                stated.importance().orElse(otherwise.importance()),
-                stated.idempotent().orElse(otherwise.idempotent()),
-                stated.retryCredits().orElse(otherwise.retryCredits()),
-                stated.deadline().orElse(otherwise.deadline()));
+                stated.importance().orElse(fallback.importance()),
+                stated.idempotent().orElse(fallback.idempotent()),
+                stated.retryCredits().orElse(fallback.retryCredits()),
+                stated.deadline().orElse(fallback.deadline()));
     }
 
-    static boolean statesNothing(TableReader table) {
+    static boolean statesNoTerm(TableReader table) {
         return TERM_KEYS.stream().noneMatch(table::has);
     }
 }
--- a/model/src/main/java/org/carawaysill/model/document/AddressFormat.java
+++ b/model/src/main/java/org/carawaysill/model/document/AddressFormat.java
@@ -14,7 +14,7 @@
  */
 public record AddressFormat(Use use) implements TextFormat<NetworkAddress> {
 
-    private static final Pattern FOUR_NUMBERS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}");
+    private static final Pattern DOTTED_DECIMAL = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}");
     private static final String EXPECTED = "expected an IP number and a port, such as \"127.0.0.1:21002\"";
 
     /** The purpose of an address. */
@@ -38,7 +38,7 @@
         boolean bracketed = written.startsWith("[") && written.endsWith("]");
         String host = bracketed ? written.substring(1, written.length() - 1) : written;
         boolean plausible =
-                bracketed ? host.contains(":") : FOUR_NUMBERS.matcher(host).matches();
+                bracketed ? host.contains(":") : DOTTED_DECIMAL.matcher(host).matches();
         InetAddress address = plausible ? literal(host, text) : null;
         if (address == null) {
             throw new IllegalArgumentException(EXPECTED + ", found \"" + text + '"');
--- a/model/src/main/java/org/carawaysill/model/document/KeyLines.java
+++ b/model/src/main/java/org/carawaysill/model/document/KeyLines.java
@@ -55,7 +55,7 @@
     /**
      * Returns the last element, to which a header below an array of tables refers, or this if there are no elements.
      */
-    KeyLines newestElement() {
+    KeyLines lastElement() {
         return elements.isEmpty() ? this : elements.getLast();
     }
 }
--- a/model/src/main/java/org/carawaysill/model/document/KeyLocator.java
+++ b/model/src/main/java/org/carawaysill/model/document/KeyLocator.java
@@ -52,29 +52,29 @@
 
     private void readDocument() {
         KeyLines table = document;
-        cursor.skipBlank();
+        cursor.skipBlanks();
         while (!cursor.atEnd()) {
             if (cursor.peek() == '[') {
                 table = readHeader();
             } else {
                 readField(table);
             }
-            cursor.skipBlank();
+            cursor.skipBlanks();
         }
     }
 
     private KeyLines readHeader() {
         int line = cursor.line();
         cursor.advance();
-        boolean heading = cursor.skipIf('[');
+        boolean arrayOfTables = cursor.skipIf('[');
         List<String> keys = readKeys();
         cursor.skipLine();
         KeyLines parent = document;
         for (String key : keys.subList(0, keys.size() - 1)) {
-            parent = parent.addField(key, line).newestElement();
+            parent = parent.addField(key, line).lastElement();
         }
         KeyLines table = parent.addField(keys.getLast(), line);
-        return heading ? table.addElement(line) : table;
+        return arrayOfTables ? table.addElement(line) : table;
     }
 
     private void readField(KeyLines table) {
@@ -112,7 +112,7 @@
 
     private void readArray(KeyLines array) {
         cursor.advance();
-        cursor.skipBlank();
+        cursor.skipBlanks();
         while (!cursor.atEnd() && !cursor.skipIf(']')) {
             readValue(array.addElement(cursor.line()));
             cursor.skipSeparator();
@@ -121,7 +121,7 @@
 
     private void readInlineTable(KeyLines table) {
         cursor.advance();
-        cursor.skipBlank();
+        cursor.skipBlanks();
         while (!cursor.atEnd() && !cursor.skipIf('}')) {
             readField(table);
             cursor.skipSeparator();
--- a/model/src/main/java/org/carawaysill/model/document/LocatedNode.java
+++ b/model/src/main/java/org/carawaysill/model/document/LocatedNode.java
@@ -15,7 +15,7 @@
  */
 record LocatedNode(JsonNode node, KeyLines lines, String path) {
 
-    private static final int MAXIMUM_WRITTEN = 60;
+    private static final int MAXIMUM_TEXT_LENGTH = 60;
 
     LocatedNode field(String key) {
         return new LocatedNode(node.path(key), lines.field(key), KeyPath.child(path, key));
@@ -30,8 +30,8 @@
     }
 
     /** Returns the value as text for a fault message, truncated so that the message stays on one line. */
-    String written() {
+    String abbreviatedText() {
         String text = node.toString();
-        return text.length() <= MAXIMUM_WRITTEN ? text : text.substring(0, MAXIMUM_WRITTEN) + "...";
+        return text.length() <= MAXIMUM_TEXT_LENGTH ? text : text.substring(0, MAXIMUM_TEXT_LENGTH) + "...";
     }
 }
--- a/model/src/main/java/org/carawaysill/model/document/TableReader.java
+++ b/model/src/main/java/org/carawaysill/model/document/TableReader.java
@@ -113,7 +113,7 @@
                 .map(JsonNode::intValue)
                 .filter(value -> value >= minimum && value <= maximum);
         if (field.isPresent() && number.isEmpty()) {
-            faultFound(field.get(), "expected a whole number from " + minimum + " to " + maximum);
+            unexpectedValue(field.get(), "expected a whole number from " + minimum + " to " + maximum);
         }
         return number;
     }
@@ -133,7 +133,7 @@
                 .map(JsonNode::doubleValue)
                 .filter(value -> value >= minimum && value <= maximum);
         if (field.isPresent() && number.isEmpty()) {
-            faultFound(field.get(), "expected a number from " + minimum + " to " + maximum);
+            unexpectedValue(field.get(), "expected a number from " + minimum + " to " + maximum);
         }
         return number;
     }
@@ -149,7 +149,7 @@
         Optional<Boolean> truth =
                 field.map(LocatedNode::node).filter(JsonNode::isBoolean).map(JsonNode::booleanValue);
         if (field.isPresent() && truth.isEmpty()) {
-            faultFound(field.get(), "expected true or false");
+            unexpectedValue(field.get(), "expected true or false");
         }
         return truth;
     }
@@ -246,7 +246,7 @@
 
     private Optional<TableReader> asTable(LocatedNode value) {
         if (!value.node().isObject()) {
-            faultFound(value, "expected a table");
+            unexpectedValue(value, "expected a table");
             return Optional.empty();
         }
         return Optional.of(new TableReader(value, faults));
@@ -259,7 +259,7 @@
 
     private <T> Optional<Located<T>> formatted(LocatedNode value, TextFormat<T> format) {
         if (!value.node().isTextual()) {
-            faultFound(value, "expected a text in quotes");
+            unexpectedValue(value, "expected a text in quotes");
             return Optional.empty();
         }
         try {
@@ -271,8 +271,8 @@
         }
     }
 
-    private void faultFound(LocatedNode value, String expected) {
-        fault(value, expected + ", found " + value.written());
+    private void unexpectedValue(LocatedNode value, String expected) {
+        fault(value, expected + ", found " + value.abbreviatedText());
     }
 
     private void fault(LocatedNode value, String message) {
--- a/model/src/main/java/org/carawaysill/model/document/TextCursor.java
+++ b/model/src/main/java/org/carawaysill/model/document/TextCursor.java
@@ -8,7 +8,7 @@
 final class TextCursor {
 
     private static final char END = '\0';
-    private static final int FENCE_LENGTH = 3;
+    private static final int TRIPLE_QUOTE_LENGTH = 3;
 
     private final String text;
     private int position;
@@ -68,7 +68,7 @@
     }
 
     /** Skips white space, line breaks and comments. */
-    void skipBlank() {
+    void skipBlanks() {
         while (!atEnd()) {
             if (peek() == '#') {
                 skipLine();
@@ -82,9 +82,9 @@
 
     /** Skips the separator between two elements: white space, comments and a comma. */
     void skipSeparator() {
-        skipBlank();
+        skipBlanks();
         skipIf(',');
-        skipBlank();
+        skipBlanks();
     }
 
     /** Reads one part of a key, bare or quoted; always advances. */
@@ -104,9 +104,9 @@
     /** Skips a string in any of the four forms of TOML. */
     void skipString() {
         char quote = peek();
-        String fence = String.valueOf(quote).repeat(FENCE_LENGTH);
-        if (text.startsWith(fence, position)) {
-            skipFenced(quote, fence);
+        String delimiter = String.valueOf(quote).repeat(TRIPLE_QUOTE_LENGTH);
+        if (text.startsWith(delimiter, position)) {
+            skipTripleQuoted(quote, delimiter);
         } else {
             skipQuoted(quote);
         }
@@ -120,9 +120,9 @@
         advance();
     }
 
-    private void skipFenced(char quote, String fence) {
-        position += FENCE_LENGTH;
-        while (!atEnd() && !text.startsWith(fence, position)) {
+    private void skipTripleQuoted(char quote, String delimiter) {
+        position += TRIPLE_QUOTE_LENGTH;
+        while (!atEnd() && !text.startsWith(delimiter, position)) {
             skipCharacter(quote);
         }
         while (peek() == quote) {
--- a/model/src/main/java/org/carawaysill/model/request/Priority.java
+++ b/model/src/main/java/org/carawaysill/model/request/Priority.java
@@ -33,9 +33,9 @@
      * @return the priority
      */
     public static Priority of(Importance importance, CallerName caller) {
-        int spread = caller.value().hashCode() * 0x9E3779B1;
-        int within = (spread >>> Integer.SIZE - 7) % LEVELS_PER_IMPORTANCE;
-        return new Priority(importance.ordinal() * LEVELS_PER_IMPORTANCE + within);
+        int hash = caller.value().hashCode() * 0x9E3779B1;
+        int offset = (hash >>> Integer.SIZE - 7) % LEVELS_PER_IMPORTANCE;
+        return new Priority(importance.ordinal() * LEVELS_PER_IMPORTANCE + offset);
     }
 
     /**
--- a/model/src/main/java/org/carawaysill/model/settings/NodeSettingsParser.java
+++ b/model/src/main/java/org/carawaysill/model/settings/NodeSettingsParser.java
@@ -25,9 +25,9 @@
 
     private static final AddressFormat LISTEN = new AddressFormat(AddressFormat.Use.LISTEN);
     private static final AddressFormat CONNECT = new AddressFormat(AddressFormat.Use.CONNECT);
-    private static final NetworkAddress NO_ADDRESS = new NetworkAddress("0.0.0.0", 0);
+    private static final NetworkAddress PLACEHOLDER_ADDRESS = new NetworkAddress("0.0.0.0", 0);
     private static final String ADMIN = "admin";
-    private static final String NO_NAME = "-";
+    private static final String PLACEHOLDER_NAME = "-";
     private static final int MINIMUM_HEADER_BYTES = 1 << 10;
     private static final int MAXIMUM_HEADER_BYTES = 1 << 20;
     private static final int MINIMUM_BODY_BYTES = 1 << 10;
@@ -61,9 +61,9 @@
         Optional<TableReader> bench = document.table("bench");
         document.reportUnknownKeys();
         NodeSettings settings = new NodeSettings(
-                required(node, "name", new NameFormat<>(NodeName::new), new NodeName(NO_NAME)),
-                required(node, "service", new NameFormat<>(ServiceName::new), new ServiceName(NO_NAME)),
-                required(node, "zone", new NameFormat<>(AvailabilityZone::new), new AvailabilityZone(NO_NAME)),
+                required(node, "name", new NameFormat<>(NodeName::new), new NodeName(PLACEHOLDER_NAME)),
+                required(node, "service", new NameFormat<>(ServiceName::new), new ServiceName(PLACEHOLDER_NAME)),
+                required(node, "zone", new NameFormat<>(AvailabilityZone::new), new AvailabilityZone(PLACEHOLDER_NAME)),
                 node.value("policy", new ChoiceFormat<>(PolicyChoice.class))
                         .map(Located::value)
                         .orElse(PolicyChoice.CARAWAYSILL),
@@ -115,10 +115,10 @@
     private NetworkAddress address(TableReader table, String key, AddressFormat format) {
         Optional<Located<NetworkAddress>> address = table.requiredValue(key, format);
         address.filter(located -> located.value().port() != 0).ifPresent(addresses::add);
-        return address.map(Located::value).orElse(NO_ADDRESS);
+        return address.map(Located::value).orElse(PLACEHOLDER_ADDRESS);
     }
 
-    private static <T> T required(TableReader table, String key, TextFormat<T> format, T standIn) {
-        return table.requiredValue(key, format).map(Located::value).orElse(standIn);
+    private static <T> T required(TableReader table, String key, TextFormat<T> format, T placeholder) {
+        return table.requiredValue(key, format).map(Located::value).orElse(placeholder);
     }
 }
--- a/model/src/test/java/org/carawaysill/model/configuration/RequestClassifierTest.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/RequestClassifierTest.java
@@ -19,7 +19,7 @@
 class RequestClassifierTest {
 
     private static final CallerName GATE = new CallerName("quay-gate");
-    private static final CallerName STRANGER = new CallerName("stranger");
+    private static final CallerName UNKNOWN_CALLER = new CallerName("stranger");
     private static final String SELECTORS = """
             [[selectors]]
             name = "gate"
@@ -55,16 +55,16 @@
         }
 
         @Test
-        void ofACallerWithoutLabelsComeFromWhatItAsks() {
+        void ofACallerWithoutLabelsDependOnTheOperationOnly() {
             Classification stranger = classifier
-                    .classify("GET", "/bills/7/status?full=true", STRANGER)
+                    .classify("GET", "/bills/7/status?full=true", UNKNOWN_CALLER)
                     .orElseThrow();
 
             assertEquals(Importance.BACKGROUND, stranger.terms().importance());
         }
 
         @Test
-        void areRememberedForTheSameOperationAndCaller() {
+        void areCachedForTheSameOperationAndCaller() {
             Optional<Classification> first = classifier.classify("GET", "/bills/7/status", GATE);
             Optional<Classification> second = classifier.classify("GET", "/bills/8/status", GATE);
 
--- a/model/src/test/java/org/carawaysill/model/configuration/ServiceConfigurationParserTest.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/ServiceConfigurationParserTest.java
@@ -23,10 +23,10 @@
 class ServiceConfigurationParserTest {
 
     @Nested
-    class AFaultlessDocument {
+    class AValidDocument {
 
         @Test
-        void givesWhatItStates() {
+        void yieldsItsValues() {
             ServiceConfiguration read = Documents.valid(Documents.SMALL + "[limits]\nkey-lifetime = \"1h\"\n");
 
             assertEquals(new ServiceName("tracker"), read.service());
@@ -38,7 +38,7 @@
         }
 
         @Test
-        void getsTheDefaultsWhereItStatesNothing() {
+        void hasDefaults() {
             ServiceConfiguration read = Documents.valid(Documents.SMALL);
 
             assertEquals(new RequestTerms(Importance.ORDINARY, false, 2, Duration.ofSeconds(2)), read.defaults());
@@ -73,7 +73,7 @@
         }
 
         @Test
-        void isRefusedIfLongerThanThePlatformHolds() {
+        void isRefusedIfLongerThanThePlatformAllows() {
             String text = Documents.SMALL + "#".repeat(TomlDocument.MAXIMUM_LENGTH);
 
             assertEquals(0, Documents.faults(text).getFirst().line());
@@ -85,7 +85,7 @@
          * one.
          */
         @Test
-        void isRefusedHoweverDeeplyNested() {
+        void isRefusedAtAnyDepthOfNesting() {
             for (int depth : new int[] {100, 10_000, 200_000}) {
                 List<Fault> faults =
                         Documents.faults(Documents.SMALL + "deep = " + "[".repeat(depth) + "]".repeat(depth));
@@ -96,7 +96,7 @@
         @ParameterizedTest
         @ValueSource(
                 strings = {"service = 1", "service = 1\n", "service = 1 #\n\n# service\ncalls = []", "service = 1\n["})
-        void isRefusedAtTheKeyThatItStatesTwice(String end) {
+        void isRefusedAtTheRepeatedKey(String end) {
             Fault expected = new Fault(2, "service", "this key stands twice in its table");
 
             assertEquals(List.of(expected), Documents.faults("service = \"a\"\n" + end));
--- a/model/src/test/java/org/carawaysill/model/configuration/SiteDocumentsTest.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/SiteDocumentsTest.java
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void areExplainedByAnExampleThatHolds() {
+    void includeAValidDocumentedExample() {
         String page = Documents.file(Path.of("..", "docs", "operators", "first-configuration.md"));
         String example = page.split("```toml\n")[1].split("```")[0];
 
--- a/model/src/test/java/org/carawaysill/model/document/KeyLocatorTest.java
+++ b/model/src/test/java/org/carawaysill/model/document/KeyLocatorTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void findsTablesBelowTheNewestElement() {
+    void findsTablesBelowTheLastElement() {
         KeyLines rows = lines.field("rows");
         assertEquals(14, rows.element(0).field("first").line());
         assertEquals(16, rows.element(0).field("below").field("second").line());
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void givesTheLineAroundAKeyThatIsAbsent() {
+    void returnsTheLineOfTheTableForAnAbsentKey() {
         assertEquals(17, lines.field("rows").element(1).field("absent").line());
     }
 }
--- a/model/src/test/java/org/carawaysill/model/settings/NodeSettingsParserTest.java
+++ b/model/src/test/java/org/carawaysill/model/settings/NodeSettingsParserTest.java
@@ -52,7 +52,7 @@
             """;
 
     @Test
-    void getTheDefaultsWhereTheyStateNothing() {
+    void haveDefaults() {
         NodeSettings settings = valid(SETTINGS);
 
         assertEquals(PolicyChoice.CARAWAYSILL, settings.policy());
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void letOnlyTheOwnVmReachTheAdminPortUnlessTheySayOtherwise() {
+    void restrictTheAdminPortToTheOwnVmByDefault() {
         String silent = SETTINGS.replace("admin = \"127.0.0.1:21003\"\n", "");
 
         assertEquals(NodeAddresses.DEFAULT_ADMIN, valid(silent).addresses().admin());
