--- a/kernel/src/main/java/org/carawaysill/kernel/service/ServiceRegistry.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/service/ServiceRegistry.java
@@ -77,21 +77,21 @@
     }
 
     private CompletableFuture<Void> start(Service service) {
-        return service.start().thenRun(() -> remember(service));
+        return service.start().thenRun(() -> markStarted(service));
     }
 
     private synchronized List<Service> registered() {
         return new ArrayList<>(services.values());
     }
 
-    private synchronized void remember(Service service) {
+    private synchronized void markStarted(Service service) {
         started.push(service);
     }
 
     private synchronized List<Service> takeStarted() {
-        List<Service> lastFirst = new ArrayList<>(started);
+        List<Service> reversed = new ArrayList<>(started);
         started.clear();
-        return lastFirst;
+        return reversed;
     }
 
     /**
--- a/kernel/src/test/java/org/carawaysill/kernel/duty/DutyTest.java
+++ b/kernel/src/test/java/org/carawaysill/kernel/duty/DutyTest.java
@@ -21,7 +21,7 @@
 @Timeout(60)
 class DutyTest {
 
-    private static final int GENEROUS_SECONDS = 30;
+    private static final int TIMEOUT_SECONDS = 30;
 
     private final BoundedRing<Integer> ring = new BoundedRing<>(64);
 
@@ -63,11 +63,11 @@
     }
 
     @Test
-    void handlesWhatItTookBeforeItStops() throws InterruptedException {
+    void handlesAcceptedItemsBeforeItStops() throws InterruptedException {
         IntStream.range(0, 50).forEach(ring::offer);
         duty.start();
         duty.stop().join();
-        assertTrue(handled.tryAcquire(50, GENEROUS_SECONDS, TimeUnit.SECONDS));
+        assertTrue(handled.tryAcquire(50, TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     /*
@@ -77,7 +77,7 @@
      * waits until it is handled.
      */
     @Test
-    void neverSleepsOverAnItem() throws Exception {
+    void neverParksWhileAnItemIsQueued() throws Exception {
         duty.start();
         int producers = 4;
         CyclicBarrier together = new CyclicBarrier(producers);
@@ -85,7 +85,7 @@
                 .mapToObj(i -> Thread.ofPlatform().start(() -> offerRounds(together)))
                 .toList();
         for (int round = 0; round < 5_000; round++) {
-            assertTrue(handled.tryAcquire(producers, GENEROUS_SECONDS, TimeUnit.SECONDS));
+            assertTrue(handled.tryAcquire(producers, TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
         for (Thread thread : threads) {
             thread.join();
@@ -114,15 +114,15 @@
         long start = System.nanoTime();
         duty.start();
         ring.offer(1);
-        assertTrue(handled.tryAcquire(GENEROUS_SECONDS, TimeUnit.SECONDS));
-        assertTrue(woken.await(GENEROUS_SECONDS, TimeUnit.SECONDS));
+        assertTrue(handled.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertTrue(woken.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         duty.stop().join();
         long mostWakeUps = 1 + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertTrue(wakeUps.get() <= mostWakeUps);
     }
 
     @Test
-    void reportsWhatTheWorkThrew() {
+    void reportsTheExceptionOfTheWork() {
         duty.start();
         ring.offer(-1);
         CompletionException failure =
--- a/kernel/src/test/java/org/carawaysill/kernel/ring/BoundedRingTest.java
+++ b/kernel/src/test/java/org/carawaysill/kernel/ring/BoundedRingTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void keepsItsReserveForOffersWithoutALimit() {
+    void reservesCapacityForOffersWithoutALimit() {
         BoundedRing<String> ring = new BoundedRing<>(CAPACITY);
         for (int i = 0; i < CAPACITY / 2; i++) {
             assertEquals(Offer.ACCEPTED, ring.offerBelow("work", CAPACITY / 2));
--- a/kernel/src/test/java/org/carawaysill/kernel/service/ServiceRegistryTest.java
+++ b/kernel/src/test/java/org/carawaysill/kernel/service/ServiceRegistryTest.java
@@ -16,28 +16,29 @@
 
     private final ServiceRegistry registry = new ServiceRegistry();
 
-    private final List<String> journal = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
 
-    private record Recorder(String name, List<String> journal, CompletableFuture<Void> started) implements Service {
+    private record RecordingService(String name, List<String> events, CompletableFuture<Void> started)
+            implements Service {
 
         @Override
         public CompletableFuture<Void> start() {
-            journal.add("start " + name);
+            events.add("start " + name);
             return started;
         }
 
         @Override
         public CompletableFuture<Void> stop() {
-            journal.add("stop " + name);
+            events.add("stop " + name);
             return CompletableFuture.completedFuture(null);
         }
     }
 
-    private Recorder register(String name, CompletableFuture<Void> started) {
-        return registry.register(new Recorder(name, journal, started));
+    private RecordingService register(String name, CompletableFuture<Void> started) {
+        return registry.register(new RecordingService(name, events, started));
     }
 
-    private Recorder register(String name) {
+    private RecordingService register(String name) {
         return register(name, CompletableFuture.completedFuture(null));
     }
 
@@ -46,8 +47,8 @@
 
         @Test
         void findsByNameAndType() {
-            Recorder counters = register("counters");
-            assertEquals(Optional.of(counters), registry.find("counters", Recorder.class));
+            RecordingService counters = register("counters");
+            assertEquals(Optional.of(counters), registry.find("counters", RecordingService.class));
             assertTrue(registry.find("counters", Runnable.class).isEmpty());
             assertThrows(IllegalStateException.class, () -> registry.require("admin", Service.class));
         }
@@ -68,7 +69,7 @@
             register("second");
             registry.start().join();
             registry.stop().join();
-            assertEquals(List.of("start first", "start second", "stop second", "stop first"), journal);
+            assertEquals(List.of("start first", "start second", "stop second", "stop first"), events);
         }
 
         @Test
@@ -77,9 +78,9 @@
             register("first", slow);
             register("second");
             registry.start();
-            assertEquals(List.of("start first"), journal);
+            assertEquals(List.of("start first"), events);
             slow.complete(null);
-            assertEquals(List.of("start first", "start second"), journal);
+            assertEquals(List.of("start first", "start second"), events);
         }
 
         @Test
@@ -90,7 +91,7 @@
             CompletionException failure = assertThrows(
                     CompletionException.class, () -> registry.start().join());
             assertEquals("port in use", failure.getCause().getMessage());
-            assertEquals(List.of("start first", "start second", "stop first"), journal);
+            assertEquals(List.of("start first", "start second", "stop first"), events);
         }
     }
 }
