--- a/kernel/src/test/java/org/carawaysill/kernel/duty/DutyTest.java
+++ b/kernel/src/test/java/org/carawaysill/kernel/duty/DutyTest.java
@@ -21,7 +21,7 @@
 @Timeout(60)
 class DutyTest {
 
-    private static final int GENEROUS_SECONDS = 30;
+    private static final int TIMEOUT_SECONDS = 30;
 
     private final BoundedRing<Integer> ring = new BoundedRing<>(64);
 
@@ -63,20 +63,21 @@
     }
 
     @Test
-    void handlesWhatItTookBeforeItStops() throws InterruptedException {
+    void handlesAcceptedItemsBeforeItStops() throws InterruptedException {
         IntStream.range(0, 50).forEach(ring::offer);
         duty.start();
         duty.stop().join();
-        assertTrue(handled.tryAcquire(50, GENEROUS_SECONDS, TimeUnit.SECONDS));
+        assertTrue(handled.tryAcquire(50, TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     /*
-     * A request hangs although the node is idle: its event lies in the ring while the policy's thread sleeps. The
-     * producer wrote the item and read the flag before the duty, which had looked at the ring already, set it. Each
-     * round offers one item at the moment the duty goes to sleep and waits for it.
+     * Guards against a request that hangs on an idle node because its event stays in the ring while the policy's thread
+     * sleeps: the producer writes the item and reads the flag after the duty's last check of the ring, but before the
+     * duty sets the flag. In each round, every producer offers one item when the duty is about to park, and the test
+     * waits until it is handled.
      */
     @Test
-    void neverSleepsOverAnItem() throws Exception {
+    void neverParksWhileAnItemIsQueued() throws Exception {
         duty.start();
         int producers = 4;
         CyclicBarrier together = new CyclicBarrier(producers);
@@ -84,7 +85,7 @@
                 .mapToObj(i -> Thread.ofPlatform().start(() -> offerRounds(together)))
                 .toList();
         for (int round = 0; round < 5_000; round++) {
-            assertTrue(handled.tryAcquire(producers, GENEROUS_SECONDS, TimeUnit.SECONDS));
+            assertTrue(handled.tryAcquire(producers, TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
         for (Thread thread : threads) {
             thread.join();
@@ -104,8 +105,8 @@
     }
 
     /*
-     * A core runs at full load on an idle node: the work asks for a wake-up in the past, again and again. The duty
-     * keeps a least time between wake-ups, so that items are still handled and few wake-ups happen.
+     * Guards against full load of a core on an idle node: the work repeatedly requests a wake-up in the past. The duty
+     * enforces a minimum time between wake-ups, so that items are still handled and wake-ups stay few.
      */
     @Test
     void keepsATimeBetweenWakeUpsThatAreAlwaysDue() throws InterruptedException {
@@ -113,15 +114,15 @@
         long start = System.nanoTime();
         duty.start();
         ring.offer(1);
-        assertTrue(handled.tryAcquire(GENEROUS_SECONDS, TimeUnit.SECONDS));
-        assertTrue(woken.await(GENEROUS_SECONDS, TimeUnit.SECONDS));
+        assertTrue(handled.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertTrue(woken.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         duty.stop().join();
         long mostWakeUps = 1 + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertTrue(wakeUps.get() <= mostWakeUps);
     }
 
     @Test
-    void reportsWhatTheWorkThrew() {
+    void reportsTheExceptionOfTheWork() {
         duty.start();
         ring.offer(-1);
         CompletionException failure =
--- a/model/src/main/java/org/carawaysill/model/configuration/OperationsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/OperationsReader.java
@@ -11,7 +11,8 @@
 import org.carawaysill.model.document.TableReader;
 
 /**
- * Reads the operations of a service: each with its own name, and none that an earlier one leaves nothing to match.
+ * Reads the operations of a service; reports repeated names and operations that never match because an earlier one
+ * matches all their requests.
  *
  * <p>Not thread safe: one instance reads one document.
  */
@@ -23,7 +24,7 @@
 
     private final DistinctValues<String> names;
     private final LabelsReader labels;
-    private final OperationIndex earlier = new OperationIndex();
+    private final OperationIndex index = new OperationIndex();
 
     OperationsReader(FaultCollector faults) {
         names = new DistinctValues<>("operation name", faults);
@@ -62,10 +63,10 @@
     }
 
     private void checkReachable(TableReader table, CompiledOperation operation) {
-        earlier.cover(operation)
-                .ifPresent(cover -> table.fault(
+        index.findCovering(operation)
+                .ifPresent(covering -> table.fault(
                         "path",
-                        "never matches, for operation " + cover.operation().name() + " takes all of its requests"));
-        earlier.add(operation);
+                        "never matches, for operation " + covering.operation().name() + " takes all of its requests"));
+        index.add(operation);
     }
 }
--- a/model/src/main/java/org/carawaysill/model/configuration/SelectorsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/SelectorsReader.java
@@ -30,7 +30,7 @@
     private final Set<String> knownKeys = new TreeSet<>();
 
     /**
-     * Prepares to read.
+     * Creates a reader.
      *
      * @param faults receives the faults
      * @param service the labels of the service
@@ -62,7 +62,7 @@
         name.ifPresent(names::add);
         Map<String, Located<String>> match = table.textTable("match");
         Selector selector = TermsReader.selector(table, name.map(Located::value).orElse(""), values(match));
-        if (TermsReader.statesNothing(table)) {
+        if (TermsReader.statesNoTerm(table)) {
             table.fault("states no term: give importance, idempotent, retry-credits or deadline");
         }
         table.reportUnknownKeys();
@@ -98,7 +98,10 @@
         return known;
     }
 
-    /** Values of the service's labels are not checked, so that one list of selectors can serve several services. */
+    /**
+     * Reports a selector that can never match. The values of the service's labels are not checked, so that several
+     * services can share one list of selectors.
+     */
     private void checkCanMatch(TableReader table, CompiledSelector selector) {
         if (!selector.request().isEmpty() && requests.stream().noneMatch(selector::matchesRequest)) {
             table.fault("match", "never matches, for no operation has all of these request labels");
--- a/model/src/main/java/org/carawaysill/model/document/TextCursor.java
+++ b/model/src/main/java/org/carawaysill/model/document/TextCursor.java
@@ -1,14 +1,14 @@
 package org.carawaysill.model.document;
 
 /**
- * A position in a text, with its line.
+ * A cursor in a text that tracks its line number.
  *
- * <p>Invariant: the position only rises and never passes the end. Not thread safe.
+ * <p>Invariant: the position only increases and never passes the end. Not thread safe.
  */
 final class TextCursor {
 
     private static final char END = '\0';
-    private static final int FENCE_LENGTH = 3;
+    private static final int TRIPLE_QUOTE_LENGTH = 3;
 
     private final String text;
     private int position;
@@ -67,8 +67,8 @@
         }
     }
 
-    /** Skips white space, line ends and comments. */
-    void skipBlank() {
+    /** Skips white space, line breaks and comments. */
+    void skipBlanks() {
         while (!atEnd()) {
             if (peek() == '#') {
                 skipLine();
@@ -80,14 +80,14 @@
         }
     }
 
-    /** Skips what stands between two elements: blanks and a comma. */
+    /** Skips the separator between two elements: white space, comments and a comma. */
     void skipSeparator() {
-        skipBlank();
+        skipBlanks();
         skipIf(',');
-        skipBlank();
+        skipBlanks();
     }
 
-    /** Reads one part of a key, bare or quoted; always moves on. */
+    /** Reads one part of a key, bare or quoted; always advances. */
     String readKey() {
         char quote = peek();
         if (quote == '"' || quote == '\'') {
@@ -101,12 +101,12 @@
         return text.substring(start, position);
     }
 
-    /** Skips a string of any of the four forms that TOML has. */
+    /** Skips a string in any of the four forms of TOML. */
     void skipString() {
         char quote = peek();
-        String fence = String.valueOf(quote).repeat(FENCE_LENGTH);
-        if (text.startsWith(fence, position)) {
-            skipFenced(quote, fence);
+        String delimiter = String.valueOf(quote).repeat(TRIPLE_QUOTE_LENGTH);
+        if (text.startsWith(delimiter, position)) {
+            skipTripleQuoted(quote, delimiter);
         } else {
             skipQuoted(quote);
         }
@@ -120,9 +120,9 @@
         advance();
     }
 
-    private void skipFenced(char quote, String fence) {
-        position += FENCE_LENGTH;
-        while (!atEnd() && !text.startsWith(fence, position)) {
+    private void skipTripleQuoted(char quote, String delimiter) {
+        position += TRIPLE_QUOTE_LENGTH;
+        while (!atEnd() && !text.startsWith(delimiter, position)) {
             skipCharacter(quote);
         }
         while (peek() == quote) {
--- a/model/src/test/java/org/carawaysill/model/configuration/RequestClassifierTest.java
+++ b/model/src/test/java/org/carawaysill/model/configuration/RequestClassifierTest.java
@@ -12,11 +12,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests get the first operation that matches, and each term from the first selector that states it. */
+/**
+ * Verifies that a request gets the first matching operation, and each term from the first matching selector that states
+ * it.
+ */
 class RequestClassifierTest {
 
     private static final CallerName GATE = new CallerName("quay-gate");
-    private static final CallerName STRANGER = new CallerName("stranger");
+    private static final CallerName UNKNOWN_CALLER = new CallerName("stranger");
     private static final String SELECTORS = """
             [[selectors]]
             name = "gate"
@@ -52,16 +55,16 @@
         }
 
         @Test
-        void ofACallerWithoutLabelsComeFromWhatItAsks() {
+        void ofACallerWithoutLabelsDependOnTheOperationOnly() {
             Classification stranger = classifier
-                    .classify("GET", "/bills/7/status?full=true", STRANGER)
+                    .classify("GET", "/bills/7/status?full=true", UNKNOWN_CALLER)
                     .orElseThrow();
 
             assertEquals(Importance.BACKGROUND, stranger.terms().importance());
         }
 
         @Test
-        void areRememberedForTheSameOperationAndCaller() {
+        void areCachedForTheSameOperationAndCaller() {
             Optional<Classification> first = classifier.classify("GET", "/bills/7/status", GATE);
             Optional<Classification> second = classifier.classify("GET", "/bills/8/status", GATE);
 
@@ -79,8 +82,9 @@
         }
 
         /**
-         * A caller asks GET /bills/../status. By its written form it is a lookup, idempotent and free to be repeated;
-         * the copy resolves the dots and runs whatever stands at /status, perhaps twice. It must match no operation.
+         * Guards against misclassified paths with dot segments: by its literal form, GET /bills/../status is an
+         * idempotent lookup that may be retried, but the copy resolves the dots and runs the operation at /status,
+         * possibly twice. Such a path must match no operation.
          */
         @ParameterizedTest
         @ValueSource(strings = {"/bills/../status", "/bills/%2E%2e/status", "/bills/./status", "/bills/.%2e/status"})
--- a/model/src/test/java/org/carawaysill/model/settings/NodeSettingsParserTest.java
+++ b/model/src/test/java/org/carawaysill/model/settings/NodeSettingsParserTest.java
@@ -11,7 +11,7 @@
 import org.carawaysill.model.identity.NetworkAddress;
 import org.junit.jupiter.api.Test;
 
-/** A node's settings are read whole or refused with every fault. */
+/** Verifies that a node's settings are either accepted as a whole or refused with every fault. */
 class NodeSettingsParserTest {
 
     private static final String SETTINGS = """
@@ -52,7 +52,7 @@
             """;
 
     @Test
-    void getTheDefaultsWhereTheyStateNothing() {
+    void haveDefaults() {
         NodeSettings settings = valid(SETTINGS);
 
         assertEquals(PolicyChoice.CARAWAYSILL, settings.policy());
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void letOnlyTheOwnVmReachTheAdminPortUnlessTheySayOtherwise() {
+    void restrictTheAdminPortToTheOwnVmByDefault() {
         String silent = SETTINGS.replace("admin = \"127.0.0.1:21003\"\n", "");
 
         assertEquals(NodeAddresses.DEFAULT_ADMIN, valid(silent).addresses().admin());
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/LeaseCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/LeaseCodec.java
@@ -12,7 +12,7 @@
 import org.carawaysill.protocol.generated.RosterMemberFrame;
 import org.carawaysill.protocol.generated.RosterViewFrame;
 
-/** Translates requests for leases and their replies. Stateless and thread safe. */
+/** Encodes and decodes lease requests and their replies. Stateless and thread safe. */
 final class LeaseCodec {
 
     private static final int MAXIMUM_PORT = 65_535;
@@ -26,7 +26,7 @@
                 .setIncarnation(request.incarnation())
                 .setWallMillis(request.wallMillis())
                 .setSequence(request.sequence())
-                .setDurationNanos(Fields.fittingNanos(request.durationNanos()))
+                .setDurationNanos(Fields.clampedNanos(request.durationNanos()))
                 .setRosterVersion(request.rosterVersion())
                 .setRosterDigest(request.rosterDigest())
                 .setPreviousDigest(request.previousDigest())
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/OutcomeCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/OutcomeCodec.java
@@ -8,7 +8,7 @@
 import org.carawaysill.protocol.generated.OutcomeFrame;
 import org.carawaysill.protocol.generated.UnknownFrame;
 
-/** Translates what a request came to. Stateless and thread safe. */
+/** Encodes and decodes the outcomes of requests. Stateless and thread safe. */
 final class OutcomeCodec {
 
     private OutcomeCodec() {}
@@ -26,7 +26,7 @@
     private static NotRunFrame encode(Outcome.NotRun notRun) {
         NotRunFrame.Builder frame = NotRunFrame.newBuilder()
                 .setReason(Codes.of(notRun.reason()))
-                .setRetryAfterNanos(Fields.fittingNanos(notRun.retryAfter()))
+                .setRetryAfterNanos(Fields.clampedNanos(notRun.retryAfter()))
                 .setStep(Codes.of(notRun.step()));
         notRun.peer().map(NodeName::value).ifPresent(frame::setPeer);
         return frame.build();
--- a/protocol/src/main/java/org/carawaysill/protocol/link/ConnectionHandler.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/ConnectionHandler.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import org.carawaysill.protocol.codec.ProtocolFault;
 
-/** Turns a channel's events into a connection's. Confined to the event loop thread. */
+/** Forwards a channel's events to its {@link PeerConnection}. Confined to the event loop thread. */
 final class ConnectionHandler extends ChannelInboundHandlerAdapter {
 
     private final PeerConnection connection;
@@ -16,7 +16,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        connection.began();
+        connection.start();
     }
 
     @Override
@@ -35,7 +35,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        connection.cutOff();
+        connection.channelClosed();
     }
 
     @Override
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Dialler.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/Dialler.java
@@ -16,15 +16,15 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * Dials the peers to which a connection is wanted, while there is none.
+ * Dials the peers to which a connection is requested, while there is none.
  *
- * <p>Invariant: at most one dial or one timer to dial per peer at a time. Delays double with each failure in a row, up to
- * a limit, and are drawn from the upper half of that, so that the peers of a node that comes back don't dial it all at
- * once. Confined to the event loop thread.
+ * <p>Invariant: at most one dial or one redial timer per peer at a time. The delay doubles with each consecutive
+ * failure, up to a limit, and is drawn at random from its upper half, so that the peers of a restarted node don't all
+ * dial it at once. Confined to the event loop thread.
  */
 final class Dialler {
 
-    private static final int MOST_DOUBLINGS = 16;
+    private static final int MAXIMUM_DOUBLINGS = 16;
 
     private final EventLoop eventLoop;
     private final Bootstrap bootstrap;
@@ -45,7 +45,7 @@
         SocketOptions.of(table.limits()).applyTo(bootstrap);
     }
 
-    void want(NodeName peer, InetSocketAddress address) {
+    void request(NodeName peer, InetSocketAddress address) {
         Target known = targets.get(peer);
         if (known != null && known.address.equals(address)) {
             return;
@@ -57,15 +57,15 @@
         }
     }
 
-    void forget(NodeName peer) {
+    void cancel(NodeName peer) {
         targets.remove(peer);
     }
 
-    void forgetAll() {
+    void cancelAll() {
         targets.clear();
     }
 
-    /** Dials a wanted peer again, after a delay. */
+    /** Dials a peer again after a delay, if a connection to it is still requested. */
     void lost(NodeName peer) {
         Target target = targets.get(peer);
         if (target != null) {
@@ -74,26 +74,26 @@
     }
 
     private void dialLater(Target target) {
-        if (target.busy || !isWanted(target)) {
+        if (target.dialPending || !isRequested(target)) {
             return;
         }
-        target.busy = true;
+        target.dialPending = true;
         long delay = nextDelayNanos(target);
         eventLoop.schedule(() -> dialNow(target), delay, TimeUnit.NANOSECONDS);
     }
 
     private void dialNow(Target target) {
-        target.busy = false;
-        if (isWanted(target) && table.open(target.peer).isEmpty()) {
+        target.dialPending = false;
+        if (isRequested(target) && table.open(target.peer).isEmpty()) {
             dial(target);
         }
     }
 
     private void dial(Target target) {
-        target.busy = true;
+        target.dialPending = true;
         ChannelFuture dialling =
                 bootstrap.clone().handler(initializer(target.peer)).connect(target.address);
-        // Run on the event loop, since the failure to make a socket at all is reported on another thread.
+        // Runs on the event loop, since a failure to create the socket is reported on another thread.
         dialling.addListener(_ -> eventLoop.execute(() -> dialled(target, dialling)));
     }
 
@@ -105,13 +105,13 @@
             return;
         }
         dialling.channel().closeFuture().addListener(_ -> ended(target));
-        if (!isWanted(target)) {
+        if (!isRequested(target)) {
             dialling.channel().close();
         }
     }
 
     private void ended(Target target) {
-        target.busy = false;
+        target.dialPending = false;
         if (table.open(target.peer).isEmpty()) {
             dialLater(target);
         }
@@ -126,11 +126,11 @@
         };
     }
 
-    private boolean isWanted(Target target) {
+    private boolean isRequested(Target target) {
         return targets.get(target.peer) == target;
     }
 
-    /** Draws the next delay; a peer that was connected for long counts as new. */
+    /** Draws the next delay; the failure count restarts for a peer that was connected for a long time. */
     private long nextDelayNanos(Target target) {
         long now = System.nanoTime();
         long longest = table.limits().longestRedial().toNanos();
@@ -138,7 +138,7 @@
             target.failures = 0;
         }
         target.lastDelayAt = now;
-        int doublings = Math.min(target.failures++, MOST_DOUBLINGS);
+        int doublings = Math.min(target.failures++, MAXIMUM_DOUBLINGS);
         long delay = Math.min(table.limits().shortestRedial().toNanos() << doublings, longest);
         return delay / 2 + random.nextLong(delay / 2 + 1);
     }
@@ -147,7 +147,7 @@
 
         private final NodeName peer;
         private final InetSocketAddress address;
-        private boolean busy;
+        private boolean dialPending;
         private int failures;
         private long lastDelayAt = System.nanoTime();
 
--- a/protocol/src/main/java/org/carawaysill/protocol/link/Handshake.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/Handshake.java
@@ -6,11 +6,11 @@
 import org.carawaysill.protocol.generated.Frame;
 
 /**
- * The greeting on one connection, up to the point at which it carries messages.
+ * The handshake on one connection, until it may carry messages.
  *
- * <p>The dialler greets first and the other side replies. Then the node with the lesser name chooses whether this is the
- * connection that carries their messages, and says so. Invariant: of two nodes only one chooses, so that they never use
- * different connections. Confined to the event loop thread.
+ * <p>The dialling side sends its hello first and the other side replies. Then the node with the lesser name decides
+ * whether this connection carries their messages, and sends an acceptance. Invariant: of two nodes, only one decides,
+ * so that they never use different connections. Confined to the event loop thread.
  */
 final class Handshake {
 
@@ -25,7 +25,7 @@
         this.dialled = dialled;
     }
 
-    /** Gives the peer, which is known once it has greeted. */
+    /** Returns the peer, which is known once its hello has been received. */
     Optional<LinkIdentity> peer() {
         return peer;
     }
@@ -38,41 +38,41 @@
 
     void received(Frame frame) throws ProtocolFault {
         if (peer.isEmpty()) {
-            greeted(frame);
+            handleHello(frame);
         } else {
-            answered(frame);
+            handleReply(frame);
         }
     }
 
-    private void greeted(Frame frame) {
-        switch (Greeting.check(frame, table.self(), dialled)) {
-            case Greeting.Result.Faulty faulty -> refuse(faulty.kind(), faulty.detail());
-            case Greeting.Result.Greeted greeted
-            when table.isBlocked(greeted.peer().name()) ->
-                // Dropped like all traffic of a blocked peer: the greeting runs into its limit.
-                table.counters().blocked();
-            case Greeting.Result.Greeted greeted -> greetBack(greeted);
+    private void handleHello(Frame frame) {
+        switch (HelloValidator.check(frame, table.self(), dialled)) {
+            case HelloValidator.Result.Invalid invalid -> refuse(invalid.kind(), invalid.detail());
+            case HelloValidator.Result.Valid valid
+            when table.isBlocked(valid.peer().name()) ->
+                // Dropped like all traffic of a blocked peer; the handshake then times out.
+                table.counters().countBlocked();
+            case HelloValidator.Result.Valid valid -> replyToHello(valid);
         }
     }
 
-    private void greetBack(Greeting.Result.Greeted greeted) {
-        peer = Optional.of(greeted.peer());
-        if (!mayOpen(greeted.peer())) {
+    private void replyToHello(HelloValidator.Result.Valid hello) {
+        peer = Optional.of(hello.peer());
+        if (!mayOpen(hello.peer())) {
             return;
         }
         if (dialled.isEmpty()) {
-            connection.write(LinkFrames.hello(table.self(), greeted.connection()));
+            connection.write(LinkFrames.hello(table.self(), hello.connection()));
         }
-        if (table.self().choosesAgainst(greeted.peer())) {
+        if (table.self().selectsConnectionAgainst(hello.peer())) {
             connection.write(LinkFrames.ACCEPTED);
-            connection.open(greeted.peer());
+            connection.open(hello.peer());
         }
         connection.flush();
-        // Comes last, since the bytes already received go through the new decoder at once.
-        connection.admitLargeFrames();
+        // Must come last, since bytes already received pass through the new decoder immediately.
+        connection.raiseFrameLimit();
     }
 
-    private void answered(Frame frame) throws ProtocolFault {
+    private void handleReply(Frame frame) throws ProtocolFault {
         switch (frame.getKindCase()) {
             case ACCEPTED -> peer.filter(this::mayOpen).ifPresent(connection::open);
             case REFUSED ->
@@ -83,10 +83,10 @@
         }
     }
 
-    private boolean mayOpen(LinkIdentity greeted) {
-        Optional<LinkFaultKind> objection = table.objection(greeted);
-        objection.ifPresent(kind -> refuse(kind, "incarnation " + greeted.incarnation()));
-        return objection.isEmpty();
+    private boolean mayOpen(LinkIdentity identity) {
+        Optional<LinkFaultKind> refusalReason = table.refusalReason(identity);
+        refusalReason.ifPresent(kind -> refuse(kind, "incarnation " + identity.incarnation()));
+        return refusalReason.isEmpty();
     }
 
     private void refuse(LinkFaultKind kind, String detail) {
--- a/protocol/src/main/java/org/carawaysill/protocol/link/LinkFrames.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/LinkFrames.java
@@ -7,7 +7,9 @@
 import org.carawaysill.protocol.generated.ProbeReply;
 import org.carawaysill.protocol.generated.Refused;
 
-/** Makes the frames that links exchange on their own behalf. Stateless and thread safe. */
+/**
+ * Creates the frames that links themselves exchange: hello, acceptance, refusal and probes. Stateless and thread safe.
+ */
 final class LinkFrames {
 
     static final Frame ACCEPTED =
@@ -21,8 +23,8 @@
 
     static Frame hello(LinkIdentity self, long connection) {
         Hello hello = Hello.newBuilder()
-                .setMagic(Greeting.MAGIC)
-                .setVersion(Greeting.VERSION)
+                .setMagic(HelloValidator.MAGIC)
+                .setVersion(HelloValidator.VERSION)
                 .setNode(self.name().value())
                 .setService(self.service().value())
                 .setIncarnation(self.incarnation())
--- a/protocol/src/main/java/org/carawaysill/protocol/link/OutboundFrames.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/OutboundFrames.java
@@ -11,18 +11,18 @@
 import org.carawaysill.protocol.generated.Frame;
 
 /**
- * The frames of one connection that the operating system has not taken whole.
+ * The frames of one connection that have not been completely written to the operating system.
  *
- * <p>When the connection ends, the node must know of each message whether it may have arrived: only a message of which
- * no byte left this process may be reported as unsent, since a request that is reported so is told to its caller as "not
- * run". Netty reports the progress of each buffer before it drops it, so a frame that is still untouched here was never
- * given to the operating system. Invariant: in the order of writing. Confined to the event loop thread.
+ * <p>When the connection ends, the node must know for each message whether it may have arrived. Only a message of which
+ * no byte left this process may be reported as unsent, since a request reported as unsent is answered to its caller as
+ * "not run". Netty reports the progress of each buffer before it releases it, so a frame without progress was never
+ * passed to the operating system. Invariant: the frames are in the order of writing. Confined to the event loop thread.
  */
 final class OutboundFrames {
 
     private final Channel channel;
     private final LinkCounters counters;
-    private final ArrayDeque<Waiting> frames = new ArrayDeque<>();
+    private final ArrayDeque<PendingFrame> frames = new ArrayDeque<>();
 
     OutboundFrames(Channel channel, LinkCounters counters) {
         this.channel = channel;
@@ -34,21 +34,21 @@
         write(frame, frame.getSerializedSize(), Optional.empty());
     }
 
-    /** Writes a message's frame without flushing. */
+    /** Writes the frame of a message without flushing. */
     void write(Frame frame, int size, PeerMessage message) {
         write(frame, size, Optional.of(message));
     }
 
     private void write(Frame frame, int size, Optional<PeerMessage> message) {
-        Waiting waiting = new Waiting(message, System.nanoTime());
-        frames.add(waiting);
+        PendingFrame pending = new PendingFrame(message, System.nanoTime());
+        frames.add(pending);
         ChannelProgressivePromise promise = channel.newProgressivePromise();
-        promise.addListener(waiting);
-        counters.sent(TrafficKind.of(frame), size);
+        promise.addListener(pending);
+        counters.countSent(TrafficKind.of(frame), size);
         channel.write(FrameBytes.write(channel.alloc(), frame, size), promise);
     }
 
-    /** Tells whether fewer bytes wait than the high-water mark; writes what can be written first if need be. */
+    /** Returns whether fewer bytes are pending than the high-water mark; flushes first if necessary. */
     boolean hasRoom() {
         if (!channel.isWritable()) {
             channel.flush();
@@ -56,17 +56,17 @@
         return channel.isWritable();
     }
 
-    /** Tells how long the oldest frame has waited, 0 if none does. */
+    /** Returns how long the oldest frame has been pending, or 0 if there is none. */
     long oldestWaitNanos(long now) {
         dropWritten();
-        Waiting oldest = frames.peek();
+        PendingFrame oldest = frames.peek();
         return oldest == null ? 0 : now - oldest.since;
     }
 
-    /** Gives the messages of which no byte was given to the operating system. */
-    List<PeerMessage> untouched() {
+    /** Returns the messages of which no byte was passed to the operating system. */
+    List<PeerMessage> unsentMessages() {
         return frames.stream()
-                .filter(frame -> !frame.touched)
+                .filter(frame -> !frame.progressed)
                 .flatMap(frame -> frame.message.stream())
                 .toList();
     }
@@ -77,27 +77,27 @@
         }
     }
 
-    private final class Waiting implements ChannelProgressiveFutureListener {
+    private final class PendingFrame implements ChannelProgressiveFutureListener {
 
         private final Optional<PeerMessage> message;
         private final long since;
-        private boolean touched;
+        private boolean progressed;
         private boolean written;
 
-        Waiting(Optional<PeerMessage> message, long since) {
+        PendingFrame(Optional<PeerMessage> message, long since) {
             this.message = message;
             this.since = since;
         }
 
         @Override
         public void operationProgressed(ChannelProgressiveFuture future, long progress, long total) {
-            touched = true;
+            progressed = true;
         }
 
         @Override
         public void operationComplete(ChannelProgressiveFuture future) {
             if (future.isSuccess()) {
-                touched = true;
+                progressed = true;
                 written = true;
                 dropWritten();
             }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/PeerTable.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/PeerTable.java
@@ -16,9 +16,9 @@
 /**
  * The connections of this node, and which of them carries the messages of each peer.
  *
- * <p>Invariants: at most one connection to a peer is open, whoever dialled it; of two processes with one name the one
- * that started later has it; the listener hears connected and lost of a peer in turn. Confined to the event loop thread,
- * but for {@link #block}, which any thread may call.
+ * <p>Invariants: at most one connection to a peer is open, whichever side dialled it; of two processes with the same
+ * name, the one that started later holds it; for each peer, the listener receives connected and lost alternately.
+ * Confined to the event loop thread, except for {@link #block}, which any thread may call.
  */
 final class PeerTable {
 
@@ -28,9 +28,9 @@
     private final RandomGenerator random;
     private final LinkCounters counters = new LinkCounters();
     private final Map<NodeName, PeerConnection> open = new HashMap<>();
-    private final Set<PeerConnection> all = new HashSet<>();
-    private Consumer<NodeName> whenLost = _ -> {};
-    private Optional<Runnable> whenEmpty = Optional.empty();
+    private final Set<PeerConnection> connections = new HashSet<>();
+    private Consumer<NodeName> onLost = _ -> {};
+    private Optional<Runnable> onEmpty = Optional.empty();
     private Optional<Encoded> lastEncoded = Optional.empty();
     private volatile Set<NodeName> blocked = Set.of();
 
@@ -57,13 +57,13 @@
         return random.nextLong();
     }
 
-    /** Sets who dials again after a loss. */
-    void whenLost(Consumer<NodeName> action) {
-        whenLost = action;
+    /** Sets the action that dials a peer again after its connection was lost. */
+    void onLost(Consumer<NodeName> action) {
+        onLost = action;
     }
 
-    /** Encodes a message, once where the same one goes to many peers in a row, as reports do. */
-    Frame frameOf(PeerMessage message) {
+    /** Encodes a message; a message sent to several peers in a row, such as a report, is encoded only once. */
+    Frame encode(PeerMessage message) {
         if (lastEncoded.isEmpty() || lastEncoded.get().message() != message) {
             lastEncoded = Optional.of(new Encoded(message, PeerMessageCodec.encode(message)));
         }
@@ -84,43 +84,43 @@
         return Optional.ofNullable(open.get(peer));
     }
 
-    void began(PeerConnection connection) {
-        all.add(connection);
-        if (whenEmpty.isPresent()) {
-            connection.closeInOrder();
+    void add(PeerConnection connection) {
+        connections.add(connection);
+        if (onEmpty.isPresent()) {
+            connection.closeGracefully();
         }
     }
 
-    /** Tells why a further connection of a peer may not be opened, if so. */
-    Optional<LinkFaultKind> objection(LinkIdentity peer) {
-        PeerConnection present = open.get(peer.name());
-        if (present == null) {
+    /** Returns why a further connection of a peer must not be opened; empty if it may be. */
+    Optional<LinkFaultKind> refusalReason(LinkIdentity peer) {
+        PeerConnection existing = open.get(peer.name());
+        if (existing == null) {
             return Optional.empty();
         }
-        long presentIncarnation = present.peer().orElseThrow().incarnation();
-        if (presentIncarnation < peer.incarnation()) {
+        long existingIncarnation = existing.peer().orElseThrow().incarnation();
+        if (existingIncarnation < peer.incarnation()) {
             return Optional.empty();
         }
-        if (presentIncarnation > peer.incarnation()) {
+        if (existingIncarnation > peer.incarnation()) {
             return Optional.of(LinkFaultKind.OLDER_INCARNATION);
         }
-        present.probe();
+        existing.probe();
         return Optional.of(LinkFaultKind.DUPLICATE);
     }
 
-    /** Takes a connection into use in place of an older process's, if there is one. */
+    /** Makes a connection the open one of its peer; ends that of an older process, if there is one. */
     void opened(PeerConnection connection, LinkIdentity peer) {
-        PeerConnection present = open.get(peer.name());
-        if (present != null) {
-            present.end(LinkFaultKind.REPLACED, "by incarnation " + peer.incarnation());
+        PeerConnection existing = open.get(peer.name());
+        if (existing != null) {
+            existing.end(LinkFaultKind.REPLACED, "by incarnation " + peer.incarnation());
         }
         open.put(peer.name(), connection);
         listener.connected(peer.name(), peer.incarnation());
     }
 
-    /** Reports what the end of a connection means, first the unsent messages, then the loss. */
+    /** Reports the end of a connection: first its unsent messages, then the loss. */
     void ended(PeerConnection connection, List<PeerMessage> unsent) {
-        all.remove(connection);
+        connections.remove(connection);
         connection
                 .peer()
                 .map(LinkIdentity::name)
@@ -132,7 +132,7 @@
     private void reportLoss(NodeName peer, List<PeerMessage> unsent) {
         unsent.forEach(message -> listener.unsent(peer, message));
         listener.lost(peer);
-        whenLost.accept(peer);
+        onLost.accept(peer);
     }
 
     void received(NodeName from, PeerMessage message) {
@@ -144,7 +144,7 @@
     }
 
     void fault(LinkFault fault) {
-        counters.fault(fault.kind());
+        counters.countFault(fault.kind());
         listener.fault(fault);
     }
 
@@ -153,21 +153,23 @@
         List.copyOf(open.values()).forEach(connection -> connection.checkDraining(now));
     }
 
-    /** Closes every connection with a peer, also one that is being greeted. */
+    /** Closes every connection to a peer, including those still in the handshake. */
     void close(NodeName peer) {
-        List.copyOf(all).stream().filter(connection -> connection.isWith(peer)).forEach(PeerConnection::closeInOrder);
+        List.copyOf(connections).stream()
+                .filter(connection -> connection.isConnectionTo(peer))
+                .forEach(PeerConnection::closeGracefully);
     }
 
-    /** Closes every connection, and each that begins later; the action runs once none is left. */
+    /** Closes every connection, and any that starts later; runs the action once none is left. */
     void closeAll(Runnable action) {
-        whenEmpty = Optional.of(action);
-        List.copyOf(all).forEach(PeerConnection::closeInOrder);
+        onEmpty = Optional.of(action);
+        List.copyOf(connections).forEach(PeerConnection::closeGracefully);
         checkEmpty();
     }
 
     private void checkEmpty() {
-        if (all.isEmpty()) {
-            whenEmpty.ifPresent(Runnable::run);
+        if (connections.isEmpty()) {
+            onEmpty.ifPresent(Runnable::run);
         }
     }
 }
--- a/protocol/src/main/java/org/carawaysill/protocol/link/SendRing.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/SendRing.java
@@ -10,21 +10,25 @@
 import org.jctools.queues.atomic.MpscAtomicArrayQueue;
 
 /**
- * The bounded ring between the threads that send and the event loop.
+ * The bounded ring from the sending threads to the event loop.
  *
- * <p>Messages that are offered while the event loop is busy are written together and flushed once per connection.
- * Invariants: each message offered is written or reported as unsent, once; the messages of one sender keep their order.
- * Any thread may offer; only one thread at a time drains: the event loop, and after its end whoever holds the lock.
+ * <p>Messages that are offered while the event loop is busy are written in one batch and flushed once per connection.
+ * Invariants: each offered message is written or reported as unsent exactly once; the messages of one sender keep their
+ * order. Any thread may offer; only one thread at a time drains: the event loop, and after it has ended, the thread
+ * that holds the lock.
  */
 final class SendRing {
 
-    /** After so many messages the event loop turns to its sockets, so that a flood of sends can't starve the reads. */
-    private static final int MOST_PER_DRAIN = 512;
+    /**
+     * How many messages the event loop writes before it serves its sockets, so that a flood of sends can't starve
+     * reads.
+     */
+    private static final int MAXIMUM_PER_DRAIN = 512;
 
-    private final MessagePassingQueue<Outgoing> queue;
+    private final MessagePassingQueue<OutgoingMessage> queue;
     private final PeerTable table;
     private final Executor eventLoop;
-    private final AtomicBoolean drainAhead = new AtomicBoolean();
+    private final AtomicBoolean drainScheduled = new AtomicBoolean();
     private volatile boolean stopped;
 
     SendRing(PeerTable table, Executor eventLoop) {
@@ -33,72 +37,72 @@
         this.eventLoop = eventLoop;
     }
 
-    void offer(Outgoing outgoing) {
+    void offer(OutgoingMessage outgoing) {
         if (!queue.offer(outgoing)) {
             table.unsent(outgoing.peer(), outgoing.message());
             return;
         }
         if (stopped) {
-            reportRest();
-        } else if (drainAhead.compareAndSet(false, true)) {
-            drainSoon();
+            reportRemaining();
+        } else if (drainScheduled.compareAndSet(false, true)) {
+            scheduleDrain();
         }
     }
 
-    private void drainSoon() {
+    private void scheduleDrain() {
         try {
             eventLoop.execute(this::drain);
         } catch (RejectedExecutionException e) {
-            // The event loop has ended just now; stop() follows and reports what is left here.
+            // The event loop has just ended; stop() follows and reports the remaining messages.
         }
     }
 
-    /** Writes what was offered; on the event loop. */
+    /** Writes the offered messages; runs on the event loop. */
     void drain() {
-        // Cleared before the first poll: what is offered after the last poll must schedule the next drain.
-        drainAhead.set(false);
+        // Cleared before the first poll, so that a message offered after the last poll schedules the next drain.
+        drainScheduled.set(false);
         Set<PeerConnection> written = new HashSet<>();
-        for (int i = 0; i < MOST_PER_DRAIN; i++) {
-            Outgoing next = queue.poll();
+        for (int i = 0; i < MAXIMUM_PER_DRAIN; i++) {
+            OutgoingMessage next = queue.poll();
             if (next == null) {
                 break;
             }
             write(next).ifPresent(written::add);
         }
         written.forEach(PeerConnection::flush);
-        if (!queue.isEmpty() && drainAhead.compareAndSet(false, true)) {
-            drainSoon();
+        if (!queue.isEmpty() && drainScheduled.compareAndSet(false, true)) {
+            scheduleDrain();
         }
     }
 
-    /** Writes all that was offered so far; on the event loop. */
+    /** Writes all messages offered so far; runs on the event loop. */
     void drainFully() {
         while (!queue.isEmpty()) {
             drain();
         }
     }
 
-    private Optional<PeerConnection> write(Outgoing outgoing) {
+    private Optional<PeerConnection> write(OutgoingMessage outgoing) {
         Optional<PeerConnection> connection = table.open(outgoing.peer());
         if (connection.isPresent() && table.isBlocked(outgoing.peer())) {
-            table.counters().blocked();
+            table.counters().countBlocked();
             return Optional.empty();
         }
-        Optional<PeerConnection> taken = connection.filter(open -> open.send(outgoing.message()));
-        if (taken.isEmpty()) {
+        Optional<PeerConnection> accepted = connection.filter(open -> open.send(outgoing.message()));
+        if (accepted.isEmpty()) {
             table.unsent(outgoing.peer(), outgoing.message());
         }
-        return taken;
+        return accepted;
     }
 
-    /** Reports whatever is left, now and from now on; after the end of the event loop. */
+    /** Reports the remaining and all later messages as unsent; called after the event loop has ended. */
     void stop() {
         stopped = true;
-        reportRest();
+        reportRemaining();
     }
 
-    private synchronized void reportRest() {
-        Outgoing next = queue.poll();
+    private synchronized void reportRemaining() {
+        OutgoingMessage next = queue.poll();
         while (next != null) {
             table.unsent(next.peer(), next.message());
             next = queue.poll();
--- a/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecPropertyTest.java
+++ b/protocol/src/test/java/org/carawaysill/protocol/codec/PeerMessageCodecPropertyTest.java
@@ -34,7 +34,7 @@
     }
 
     @Property(seed = "1", tries = 2000)
-    void everyMessageComesBackEqual(@ForAll("messages") PeerMessage message)
+    void everyMessageSurvivesARoundTrip(@ForAll("messages") PeerMessage message)
             throws ProtocolFault, InvalidProtocolBufferException {
         byte[] bytes = PeerMessageCodec.encode(message).toByteArray();
         assertEquals(message, PeerMessageCodec.decode(Frame.parseFrom(bytes)));
@@ -59,12 +59,12 @@
     }
 
     /**
-     * A caller gets half a bill as if it were the whole one. The answer's bytes are cut or altered on the way between two
-     * nodes, by a fault in a node or in what carries them, and what is left still parses. The cause would be an end that
-     * is inferred in place of being checked.
+     * Guards against a truncated answer that is passed to a caller as complete. If the bytes of an answer are truncated
+     * or altered between two nodes and the rest still parses, the decoder must detect it by length and checksum instead
+     * of inferring the end of the body.
      */
     @Property(seed = "4", tries = 3000)
-    void anAlteredBodyIsNeverTakenForAnother(
+    void anAlteredBodyIsAlwaysDetected(
             @ForAll("messagesWithBody") PeerMessage message,
             @ForAll @IntRange(max = 100_000) int cutAt,
             @ForAll @IntRange(max = 100_000) int changeAt,
@@ -96,7 +96,7 @@
         try {
             PeerMessageCodec.decode(Frame.parseFrom(bytes));
         } catch (ProtocolFault | InvalidProtocolBufferException e) {
-            // Both are typed; any other exception fails the property.
+            // Both are expected; any other exception fails the property.
         }
     }
 }
