--- a/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
@@ -308,7 +308,7 @@
             changed |= table.join(now, message.service(), suspicion);
         }
         quarantined.removeIf(fingerprint -> !isQuarantined(now, fingerprint));
-        quarantined.forEach(fingerprint -> logQuarantine(now, fingerprint, "told by " + from));
+        quarantined.forEach(fingerprint -> logQuarantine(now, fingerprint, "reported by " + from));
         if (message.service().equals(settings.service())) {
             notifyNodes(now, message.service(), quarantined);
         }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetPolicy.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetPolicy.java
@@ -154,8 +154,8 @@
                 state.fleetSummaryReceived(now, from, summary);
                 exchange.stateReceived(now, from, true, summary.published());
             }
-            case PeerMessage.Suspicions told -> {
-                if (suspects.received(now, from, told)) {
+            case PeerMessage.Suspicions suspicions -> {
+                if (suspects.received(now, from, suspicions)) {
                     localRuns.recheck(now);
                 }
             }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/PublishedView.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PublishedView.java
@@ -113,7 +113,7 @@
 
     /** Schedules a full read soon, whichever nodes read at present. */
     void readEverything(long now) {
-        effects.log(new Decision.DependencyChanged(PLATFORM, "read_anew", "others decide by something else"));
+        effects.log(new Decision.DependencyChanged(PLATFORM, "read_anew", "other nodes report a different state"));
         reads.everythingAt(now);
     }
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/CrashingRequestsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/CrashingRequestsTest.java
@@ -161,9 +161,9 @@
         void ofTheServiceRestartAtOnce(long seed) {
             PostingSite site = play(seed, day -> {
                 crashOne(day);
-                List<VirtualNode> beside = day.services.get(PostingSite.STATEMENTS);
-                day.at(15, () -> beside.forEach(VirtualNode::kill));
-                day.at(16, () -> beside.forEach(VirtualNode::restart));
+                List<VirtualNode> serviceNodes = day.services.get(PostingSite.STATEMENTS);
+                day.at(15, () -> serviceNodes.forEach(VirtualNode::kill));
+                day.at(16, () -> serviceNodes.forEach(VirtualNode::restart));
             });
             expectBound(site);
         }
@@ -202,10 +202,10 @@
         void areDisconnected(long seed) {
             PostingSite site = play(seed, day -> {
                 crashOne(day);
-                List<VirtualNode> beside = day.services.get(PostingSite.STATEMENTS);
+                List<VirtualNode> serviceNodes = day.services.get(PostingSite.STATEMENTS);
                 day.at(CRASHES_FROM - 0.1, () -> {
-                    day.fleet.silence(beside.get(0), beside.get(1));
-                    day.fleet.silence(beside.get(2), beside.get(3));
+                    day.fleet.silence(serviceNodes.get(0), serviceNodes.get(1));
+                    day.fleet.silence(serviceNodes.get(2), serviceNodes.get(3));
                 });
             });
             assertTrue(site.runsAfterTheThird("one") <= MOST_LATE_TRIES, figures(site, "one"));
@@ -309,9 +309,9 @@
 
         /** Crashes three of the four copies of a service one after the other. */
         private static void endInTurn(PostingSite site, double fromSecond, double gapSeconds) {
-            List<VirtualNode> beside = site.services.get(PostingSite.STATEMENTS);
+            List<VirtualNode> serviceNodes = site.services.get(PostingSite.STATEMENTS);
             for (int i = 0; i < 3; i++) {
-                VirtualNode node = beside.get(i);
+                VirtualNode node = serviceNodes.get(i);
                 site.at(fromSecond + gapSeconds * i, () -> node.crashCopy(PostingSite.ABSENCE));
             }
         }
@@ -325,9 +325,9 @@
         @ValueSource(longs = {1, 2, 3, 4})
         void ofCrashesInSeriesQuarantineOneRequestAtMost(long seed) {
             PostingSite site = play(seed, day -> {
-                List<VirtualNode> beside = day.services.get(PostingSite.STATEMENTS);
+                List<VirtualNode> serviceNodes = day.services.get(PostingSite.STATEMENTS);
                 for (int i = 0; i < 12; i++) {
-                    VirtualNode node = beside.get(i % beside.size());
+                    VirtualNode node = serviceNodes.get(i % serviceNodes.size());
                     day.at(5 + 1.9 * i, () -> node.crashCopy(PostingSite.ABSENCE));
                 }
             });
--- a/policy/src/test/java/org/carawaysill/policy/fleet/FleetPolicyTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/FleetPolicyTest.java
@@ -103,7 +103,7 @@
                     .mapToLong(VirtualFleet.Run::at)
                     .max()
                     .orElse(0);
-            assertTrue(latest > 7 * SECOND, "it got work before");
+            assertTrue(latest > 7 * SECOND, "it got requests before");
             assertTrue(latest <= drained + VirtualFleet.DRAIN_LIMIT.toNanos(), "late by " + (latest - drained) / MILLI);
         }
 
@@ -194,7 +194,7 @@
             send(node, "new", "/entry/");
             fleet.runUntil(6 * SECOND);
             assertEquals(1, good("new"));
-            assertTrue(outcomes.get("old") instanceof Outcome.Answered, "what waited ran at the new process");
+            assertTrue(outcomes.get("old") instanceof Outcome.Answered, "the waiting requests ran at the new process");
         }
     }
 
@@ -218,13 +218,13 @@
                 nodes.add(node);
             }
             seeded.runUntil(3 * SECOND);
-            Map<String, Outcome> told = new HashMap<>();
+            Map<String, Outcome> answers = new HashMap<>();
             for (int i = 0; i < 1500; i++) {
                 String name = "bill-" + i;
                 VirtualNode entry = nodes.get(i % nodes.size());
                 seeded.at(
                         3 * SECOND + i * 4 * MILLI,
-                        () -> seeded.send(entry, name, "/entry/", SECOND, (_, outcome) -> told.put(name, outcome)));
+                        () -> seeded.send(entry, name, "/entry/", SECOND, (_, outcome) -> answers.put(name, outcome)));
             }
             for (int i = 0; i < 5; i++) {
                 VirtualNode victim = nodes.get(seeded.random.nextInt(nodes.size()));
@@ -236,9 +236,9 @@
             Map<String, Integer> counts = new TreeMap<>();
             seeded.runs.forEach(run -> counts.merge(run.requestName(), 1, Integer::sum));
             counts.forEach((name, count) -> assertEquals(1, count, name));
-            told.forEach((name, outcome) ->
+            answers.forEach((name, outcome) ->
                     assertFalse(outcome instanceof Outcome.NotRun && counts.containsKey(name), name));
-            assertTrue(told.values().stream().filter(Outcomes::isGood).count() > 1000);
+            assertTrue(answers.values().stream().filter(Outcomes::isGood).count() > 1000);
         }
     }
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/FleetStateTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/FleetStateTest.java
@@ -30,8 +30,8 @@
         return node.summaries.keySet().stream().map(name -> name.value()).toList();
     }
 
-    private static double offered(ReceivedSummary told) {
-        return told.summary().routes().stream()
+    private static double offered(ReceivedSummary received) {
+        return received.summary().routes().stream()
                 .filter(route -> route.route().equals(PATH))
                 .flatMap(route -> route.demands().stream())
                 .mapToDouble(RankDemand::offeredPerSecond)
@@ -99,12 +99,12 @@
             }
             fleet.runUntil(SETTLED + 1200 * MILLI);
             for (int zone = 0; zone < ZONES; zone++) {
-                ReceivedSummary told = latest(lastRanked(zone(zone)));
-                assertTrue(offered(told) > 0, "zone " + zone);
+                ReceivedSummary received = latest(lastRanked(zone(zone)));
+                assertTrue(offered(received) > 0, "zone " + zone);
             }
             fleet.runUntil(SETTLED + 5 * SECOND);
-            ReceivedSummary told = latest(lastRanked(zone(0)));
-            assertEquals(perSecond, offered(told), 0.2 * perSecond);
+            ReceivedSummary received = latest(lastRanked(zone(0)));
+            assertEquals(perSecond, offered(received), 0.2 * perSecond);
         }
     }
 
@@ -131,7 +131,7 @@
             for (int step = 1; step <= 20; step++) {
                 fleet.runUntil(SETTLED + step * 200 * MILLI);
                 long age = fleet.now - latest(watcher).at();
-                assertTrue(age <= 500 * MILLI, "blind for " + age / MILLI + " ms");
+                assertTrue(age <= 500 * MILLI, "no summary for " + age / MILLI + " ms");
             }
             for (VirtualNode node : nodes) {
                 if (node.summaries.size() >= 2 && node.alive) {
