--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
@@ -102,12 +102,12 @@
         return changed;
     }
 
-    void missing(long fromNanos) {
+    void markMissing(long fromNanos) {
         goneNanos = Math.min(goneNanos, fromNanos);
     }
 
     /** Notes that the copy's entry is published; returns whether it was missing. */
-    boolean keep() {
+    boolean markPresent() {
         boolean reappeared = isMissing();
         goneNanos = NOT_MISSING;
         return reappeared;
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyTable.java
@@ -70,7 +70,7 @@
             rebuild();
             return Optional.of(copy);
         }
-        boolean reappeared = copy.keep();
+        boolean reappeared = copy.markPresent();
         boolean changed = copy.update(record, now);
         if (changed || reappeared) {
             rebuild();
@@ -92,7 +92,7 @@
         if (copy == null) {
             return Optional.empty();
         }
-        copy.missing(goneNanos);
+        copy.markMissing(goneNanos);
         if (goneNanos > now) {
             return Optional.empty();
         }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/EntryPlan.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/EntryPlan.java
@@ -50,7 +50,7 @@
     private final Set<Mechanism> without;
     private final RouteCosts costs = new RouteCosts();
     private final PlannedSlots slots = new PlannedSlots();
-    private SharedRoom room = new SharedRoom();
+    private SlotAllocation allocation = new SlotAllocation();
     private Map<DemandKey, Double> shares = Map.of();
     private Map<DemandKey, Double> offered = Map.of();
 
@@ -79,9 +79,9 @@
         }
         SortedMap<Integer, List<PlannedRoute>> byRank = byRank(demand, routes);
         List<PlannedRoute> all = byRank.values().stream().flatMap(List::stream).toList();
-        room = room(loads);
+        allocation = allocation(loads);
         fillMinimumShares(all);
-        byRank.values().forEach(sameRank -> room.fill(sameRank, 1, 1));
+        byRank.values().forEach(sameRank -> allocation.fill(sameRank, 1, 1));
         Map<DemandKey, Double> newShares = new HashMap<>();
         Map<DemandKey, Double> newOffered = new HashMap<>();
         for (PlannedRoute route : all) {
@@ -100,9 +100,9 @@
                 > 1;
         if (severalRanks) {
             double least = Math.max(MINIMUM_SHARE, MINIMUM_OF_MEAN * meanShare());
-            room.fill(all, least, MINIMUM_PART_OF_RANKS);
+            allocation.fill(all, least, MINIMUM_PART_OF_RANKS);
         } else {
-            room.fill(all, MINIMUM_SHARE, MINIMUM_PART);
+            allocation.fill(all, MINIMUM_SHARE, MINIMUM_PART);
         }
     }
 
@@ -129,13 +129,13 @@
         return byRank;
     }
 
-    private SharedRoom room(Map<ServiceName, ServiceLoad> loads) {
+    private SlotAllocation allocation(Map<ServiceName, ServiceLoad> loads) {
         if (!without.contains(Mechanism.IDLE_SLOTS)) {
-            slots.update(loads, room::isFull);
+            slots.update(loads, allocation::isFull);
         }
-        SharedRoom newRoom = new SharedRoom();
-        loads.forEach((service, load) -> newRoom.add(service, slots.of(service, load)));
-        return newRoom;
+        SlotAllocation newAllocation = new SlotAllocation();
+        loads.forEach((service, load) -> newAllocation.add(service, slots.of(service, load)));
+        return newAllocation;
     }
 
     /**
@@ -145,7 +145,7 @@
      * @param times the slot time that it took at each service, including all of its calls
      */
     public void learn(String route, List<SlotTime> times) {
-        costs.learn(route, times);
+        costs.addCompleted(route, times);
     }
 
     /**
@@ -155,7 +155,7 @@
      * @param times the slot time that it took at each service until it failed
      */
     public void learnLeast(String route, List<SlotTime> times) {
-        costs.learnLeast(route, times);
+        costs.addMinimum(route, times);
     }
 
     /**
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/RouteCosts.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/RouteCosts.java
@@ -35,7 +35,7 @@
     private final Map<String, Map<ServiceName, Double>> fleetCosts = new HashMap<>();
 
     /** Adds the cost of a request that completed. */
-    void learn(String route, List<SlotTime> times) {
+    void addCompleted(String route, List<SlotTime> times) {
         Map<ServiceName, Float> known = known(route);
         Map<ServiceName, Float> measured = sums(times);
         known.replaceAll((service, cost) -> cost + REQUEST_WEIGHT * (measured.getOrDefault(service, 0f) - cost));
@@ -50,7 +50,7 @@
      * after all nodes were restarted, while nothing is refused at the entry: if no request completes, completed ones
      * alone never reveal the cost.
      */
-    void learnLeast(String route, List<SlotTime> times) {
+    void addMinimum(String route, List<SlotTime> times) {
         Map<ServiceName, Float> known = known(route);
         sums(times)
                 .forEach((service, cost) -> known.merge(
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/SharedRoom.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/SlotAllocation.java
@@ -12,7 +12,7 @@
  * <p>Invariant: no service allocates more than it has, except for rounding. Not thread safe: used while one plan is
  * computed.
  */
-final class SharedRoom {
+final class SlotAllocation {
 
     /**
      * Shares and slots that differ by less than this part count as equal, which covers the rounding errors of sums of
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
@@ -284,9 +284,8 @@
     /**
      * Returns whether this node did not read while others did, so that it may have missed an outage of the platform.
      *
-     * <p>Guards against taking copies for gone that could not write during an outage, which shows as no reachable copy
-     * for two seconds after its end: a node that takes over from failed readers has not failed itself and finds most
-     * entries missing.
+     * <p>Guards against taking copies for gone that could not write during an outage: a node that takes over from
+     * failed readers has not failed itself, finds most entries missing, and would reach no copy for two seconds.
      */
     private boolean hadGap(long now) {
         return everything || now - lastNanos > INTERVALS_WITHOUT_GAP * readInterval.toNanos();
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Suspect.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Suspect.java
@@ -94,7 +94,7 @@
     }
 
     /** Merges the state of another node; returns whether any of it was new. */
-    boolean join(long now, Suspicion received) {
+    boolean merge(long now, Suspicion received) {
         boolean news = crashes.addAll(received.crashes());
         news |= witnessed.addAll(received.witnessed());
         news |= cleared.addAll(received.cleared());
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/SuspectTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/SuspectTable.java
@@ -228,7 +228,7 @@
      * @return whether any of it was new
      */
     public boolean join(long now, ServiceName service, Suspicion received) {
-        boolean news = suspect(now, service, received.fingerprint()).join(now, received);
+        boolean news = suspect(now, service, received.fingerprint()).merge(now, received);
         received.crashes().forEach(start -> recordCrash(now, service, start));
         received.witnessed().forEach(start -> recordCrash(now, service, start));
         isCurrent = false;
--- a/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceMethod.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceMethod.java
@@ -18,7 +18,7 @@
     int report(long now);
 
     /** Takes in the sum of what some nodes reported. */
-    void told(long now, int sum, int ofNodes);
+    void receive(long now, int sum, int ofNodes);
 
     /** The method of the policy: sums of what the nodes recently reported. */
     final class FleetSums implements AllowanceMethod {
@@ -49,7 +49,7 @@
         }
 
         @Override
-        public void told(long now, int sum, int ofNodes) {
+        public void receive(long now, int sum, int ofNodes) {
             allowances.told(now, List.of(new OrganisationUse(organisation.name(), sum)), ofNodes);
         }
     }
@@ -110,7 +110,7 @@
         }
 
         @Override
-        public void told(long now, int sum, int ofNodes) {}
+        public void receive(long now, int sum, int ofNodes) {}
     }
 
     /** A part in proportion to the demand at each node, with a minimum for nodes without demand so far. */
@@ -143,7 +143,7 @@
         }
 
         @Override
-        public void told(long now, int sum, int ofNodes) {
+        public void receive(long now, int sum, int ofNodes) {
             double following = sum > 0 ? Math.min(1.0, asked.sum(now) / (double) sum) : 1.0 / nodes;
             bucket.share(EVEN_PART / nodes + (1 - EVEN_PART) * following);
         }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceTrial.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceTrial.java
@@ -53,7 +53,7 @@
     /**
      * The number of requests that one token bucket of the allowance, shared by all nodes without delay, would admit.
      */
-    int owed;
+    int expected;
 
     int admitted;
     private double bucket;
@@ -134,7 +134,7 @@
         }
         for (int node = zone; node < nodeCount; node += ZONES) {
             if (!down[node] && !cut[node] && allNodes > 0) {
-                nodes[node].told(now, all, allNodes);
+                nodes[node].receive(now, all, allNodes);
             }
         }
     }
@@ -205,7 +205,7 @@
         bucketNanos = now;
         if (bucket >= 1) {
             bucket--;
-            owed += counted ? 1 : 0;
+            expected += counted ? 1 : 0;
         }
         boolean abuser = random.nextDouble() < IMPATIENT;
         attempt(node, counted, abuser ? 3 : 1, abuser);
@@ -239,7 +239,7 @@
 
     /** Returns the refused part of the requests that should be admitted. */
     double refusedBelow() {
-        return owed == 0 ? 0 : Math.max(0, owed - admitted) / (double) owed;
+        return expected == 0 ? 0 : Math.max(0, expected - admitted) / (double) expected;
     }
 
     /** Runs each scenario with each method and prints a table. */
@@ -256,7 +256,7 @@
             }
         }
         System.out.println(
-                "nodes rate way; ref: refused of what is owed; all others: worst window as a part of the bound");
+                "nodes rate way; ref: refused part of the expected requests; all others: worst window as a part of the bound");
         rows.forEach(System.out::println);
     }
 
