--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
@@ -69,10 +69,10 @@
     private long nextNanos;
     private long sentNanos;
     private long lastNanos;
-    private boolean reader;
+    private boolean assignedReader;
     private long handoverUntilNanos;
     private boolean reading;
-    private boolean told;
+    private boolean stateKnown;
     private boolean everything = true;
     private boolean lastWasIncremental;
     private boolean incremental = true;
@@ -109,15 +109,15 @@
      * @param isReader whether it is
      */
     public void reader(long now, boolean isReader) {
-        if (reader == isReader) {
+        if (assignedReader == isReader) {
             return;
         }
-        reader = isReader;
-        if (!readable && !failing && !told) {
+        assignedReader = isReader;
+        if (!readable && !failing && !stateKnown) {
             // The first read is due in any case.
             return;
         }
-        if (reader) {
+        if (assignedReader) {
             nextNanos = Math.min(nextNanos, Math.max(now, lastNanos + readInterval.toNanos()));
         } else if (failing) {
             nextNanos = now + failingPause();
@@ -135,7 +135,7 @@
      * not: that one continues until its successor no longer withholds removals.
      */
     private boolean readsAsReader(long now) {
-        return reader || now < handoverUntilNanos;
+        return assignedReader || now < handoverUntilNanos;
     }
 
     private boolean othersFailedWithin(long now) {
@@ -148,10 +148,10 @@
      * @param now the monotonic time
      */
     public void told(long now) {
-        if (!told && !readable && !failing) {
+        if (!stateKnown && !readable && !failing) {
             nextNanos = now + STATE_RECEIVED_PAUSE.toNanos();
         }
-        told = true;
+        stateKnown = true;
     }
 
     /**
@@ -309,7 +309,7 @@
         readable = false;
         failing = true;
         long pause = SHORTEST_PAUSE.toNanos();
-        nextNanos = now + (reader || !told ? pause + random.nextLong(pause) : failingPause());
+        nextNanos = now + (assignedReader || !stateKnown ? pause + random.nextLong(pause) : failingPause());
         return lost;
     }
 
