--- a/policy/src/test/java/org/carawaysill/policy/fleet/allowance/FleetAllowancesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/allowance/FleetAllowancesTest.java
@@ -144,41 +144,41 @@
                 new FleetAllowances(0, AllowanceTrial.BOUNDS, new SplittableRandom(1));
         private final Organisation agents = organisation(100);
 
-        private void told(long now, int admitted, int ofNodes) {
+        private void reportUse(long now, int admitted, int ofNodes) {
             allowances.nodes(10);
             allowances.told(now, List.of(new OrganisationUse(agents.name(), admitted)), ofNodes);
         }
 
         @Test
         void refuseWhatOthersHaveUsedUp() {
-            told(10 * SECOND, 100, 10);
+            reportUse(10 * SECOND, 100, 10);
             assertTrue(allowances.refusal(10 * SECOND, agents).isEmpty());
-            told(11 * SECOND, 700, 10);
+            reportUse(11 * SECOND, 700, 10);
             assertTrue(allowances.refusal(11 * SECOND, agents).isPresent());
         }
 
         /** Guards against forgetting a use because the nodes that reported it were restarted. */
         @Test
         void rememberAUseThatIsToldNoMore() {
-            told(10 * SECOND, 900, 10);
-            told(11 * SECOND, 0, 10);
+            reportUse(10 * SECOND, 900, 10);
+            reportUse(11 * SECOND, 0, 10);
             assertTrue(allowances.refusal(11 * SECOND, agents).isPresent());
-            told(15 * SECOND, 0, 10);
+            reportUse(15 * SECOND, 0, 10);
             assertTrue(allowances.refusal(15 * SECOND, agents).isEmpty());
         }
 
         /** Guards against two sides of a partition that each use the whole allowance. */
         @Test
         void useTheirPartOnlyWhereTheyHearFromAPart() {
-            told(10 * SECOND, 300, 10);
+            reportUse(10 * SECOND, 300, 10);
             assertTrue(allowances.refusal(10 * SECOND, agents).isEmpty());
-            told(11 * SECOND, 300, 4);
+            reportUse(11 * SECOND, 300, 4);
             assertTrue(allowances.refusal(11 * SECOND, agents).isPresent());
         }
 
         @Test
         void haveAnEvenShareOnTheirOwn() {
-            told(10 * SECOND, 0, 10);
+            reportUse(10 * SECOND, 0, 10);
             int admitted = 0;
             while (allowances.refusal(20 * SECOND, agents).isEmpty()) {
                 allowances.take(20 * SECOND, agents.name());
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/ChangeLogTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/ChangeLogTest.java
@@ -54,7 +54,7 @@
             assertTrue(changes.remembers(1));
             assertFalse(changes.remembers(at(3)));
             assertTrue(changes.remembers(at(5)));
-            assertTrue(changes.remembers(at(0)), "who knows nothing has nothing to remove");
+            assertTrue(changes.remembers(at(0)), "a node without any state has nothing to remove");
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/PublishedEntriesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/PublishedEntriesTest.java
@@ -154,8 +154,8 @@
         @Test
         void takeWhatOthersKnowFromBefore() {
             entries.mergeAll(RETURNED, false, List.of(copy(SHOWN, 3, Stage.PRESENT)));
-            List<KnownEntry> told = List.of(copy(BEFORE, 4, Stage.LEAVING));
-            assertEquals(told, entries.mergeTold(BEFORE, false, told));
+            List<KnownEntry> received = List.of(copy(BEFORE, 4, Stage.LEAVING));
+            assertEquals(received, entries.mergeTold(BEFORE, false, received));
         }
 
         /* Guards against a node that has not read yet and takes the older state for newer because of its era. */
