--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
@@ -130,10 +130,7 @@
         return encoded;
     }
 
-    /**
-     * Sets the organisation of the request's key, replaces any value in the request itself, and never passes on the
-     * key.
-     */
+    /** Sets the organisation of the request's key, replacing any value in the request, and never sends the key. */
     private void setOrganisation(FullHttpRequest encoded, FleetEffect.HandToCopy request) {
         encoded.headers().remove(pool.dialect().organisation());
         request.organisation().ifPresent(organisation -> {
@@ -146,10 +143,7 @@
         return method.equals(HttpMethod.GET.name()) || method.equals(HttpMethod.HEAD.name());
     }
 
-    /**
-     * Completes a write. If a request is answered before it is completely written, its connection is reused only after
-     * the rest is written.
-     */
+    /** Completes a write. An exchange that was answered earlier releases its connection only then. */
     private void written(CopyExchange of, boolean success) {
         requestWritten = true;
         if (!success) {
@@ -199,8 +193,7 @@
         if (verdict == Verdict.INVALID) {
             endInvalid();
         } else if (verdict == Verdict.FOREIGN) {
-            // The answer to this request follows on the same connection; after that, the connection carries no other
-            // request.
+            // The answer to this request follows on this connection, which then carries no further request.
             pool.count(ConnectionFault.COPY_BROKEN);
             reusable = false;
         }
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
@@ -56,10 +56,7 @@
     private static final int MAXIMUM_HEAD_BYTES = 64 * 1024;
     private static final int CHUNK_BYTES = 64 * 1024;
 
-    /**
-     * How long broken exchanges wait for a probe to connect to the copy. The address of an ended process refuses
-     * connections at once; if the connect takes longer, the process may still be running.
-     */
+    /** The time limit of a probe. The address of an ended process refuses at once; a slow one may still be running. */
     private static final int PROBE_LIMIT_MILLIS = 100;
 
     /** The time in which all connections of an ending process are closed, one after the other. */
@@ -247,11 +244,10 @@
     /**
      * Handles an exchange whose connection ended, and checks whether the copy has ended as well.
      *
-     * <p>Without this check, a request that crashes its copy looks like one whose connection was reset, and is sent to
+     * <p>Otherwise a request that crashes its copy would look like one whose connection was reset, and would be sent to
      * the next copy. The copy has ended if all its connections end at the same time. Its listening socket may stay open
-     * for some milliseconds longer, or permanently if another process holds it; and a leaving copy closes that socket
-     * long before it ends. A refused connection therefore means that the copy has ended only if no other connection was
-     * open.
+     * for milliseconds, or permanently if another process holds it. A refused connection shows the end only if no other
+     * connection was open, since a leaving copy closes that socket long before it ends.
      */
     void broken(BrokenExchange exchange) {
         if (broken.add(exchange, all)) {
@@ -318,10 +314,7 @@
         return connected.cause() instanceof ConnectException && !(connected.cause() instanceof ConnectTimeoutException);
     }
 
-    /**
-     * Ends the requests that were written to the copy on connections that ended. Requests that a successor process has
-     * accepted since then continue.
-     */
+    /** Ends the requests on connections that ended; those that a successor process has accepted continue. */
     private void crashed() {
         broken.removeAll();
         List<AttemptIdentifier> lost = new ArrayList<>();
--- a/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
+++ b/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
@@ -166,9 +166,8 @@
         }
 
         /*
-         * A copy's process ends while it runs two requests. Each of them used to be reported as a lost answer, as after
-         * a reset, and was sent to the next copy; of two requests that crashed the copy, it was unknown that they had
-         * been in flight together.
+         * A copy's process ends while it runs two requests. Each used to be reported as a lost answer, as after a reset,
+         * and was sent to the next copy; it was unknown that both had been in flight together.
          */
         @Test
         void areReportedWithAllRequestsInFlight() {
@@ -182,9 +181,8 @@
         }
 
         /*
-         * A copy's process ends while its listening socket is still open, which lasts for some milliseconds, or
-         * permanently if a supervisor holds it. A new connection is accepted, and the crash would look like a reset of
-         * each connection.
+         * A copy's process ends while its listening socket stays open for some milliseconds, or permanently if a
+         * supervisor holds it. A new connection is accepted, and the crash would look like resets of all connections.
          */
         @Test
         void areDetectedWhileTheAddressStillAcceptsConnections() {
@@ -221,9 +219,7 @@
             expectGood(secondOfTwo, "two");
         }
 
-        /**
-         * A leaving copy has stopped listening and one of its connections ends; its other requests must not be ended.
-         */
+        /** A leaving copy stops listening and one of its connections ends; its other requests must continue. */
         @Test
         void areNotReportedWhenTheCopyStopsListening() {
             sendTwo();
