--- a/policy/src/main/java/org/carawaysill/policy/distribution/DistributionSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DistributionSettings.java
@@ -99,7 +99,8 @@
             return this;
         }
 
-        /** Builds the settings.
+        /**
+         * Builds the settings.
          *
          * @return the settings
          */
--- a/policy/src/main/java/org/carawaysill/policy/message/PeerMessage.java
+++ b/policy/src/main/java/org/carawaysill/policy/message/PeerMessage.java
@@ -34,8 +34,7 @@
      * @param priority the place in the order of refusal, assigned at the entry
      * @param idempotent whether the request may run more than once
      * @param key the idempotency key, if there is one
-     * @param retryCredits the retries that the receiver and the services it calls may spend; unspent credits are
-     *     returned
+     * @param retryCredits the retries that the receiver and the services below it may spend; unspent ones are returned
      * @param remainingNanos time left until the deadline
      * @param depth hops from the entry, which is 0
      * @param purpose what the receiver is asked to do
@@ -93,7 +92,8 @@
     /** The sender is draining and must not receive new work. */
     record DrainNotice() implements PeerMessage {}
 
-    /** Reports that the sender is running, with its load and configuration versions.
+    /**
+     * A periodic report that the sender is running, with its load and configuration versions.
      *
      * @param sequence the heartbeat's number, which rises by one with each heartbeat of the sender's process
      * @param load the sender's load
@@ -136,8 +136,7 @@
      * @param incarnation the start time of the sender's process in milliseconds since 1970
      * @param wallMillis the sender's wall clock at sending, since 1970
      * @param sequence echoed in the reply
-     * @param durationNanos the requested length, which the sender counts from before sending this; zero returns the
-     *     lease
+     * @param durationNanos the requested length, counted by the sender from before sending this; zero returns the lease
      * @param rosterVersion the version of the roster under which the sender would act
      * @param rosterDigest the digest of that roster's members
      * @param previousDigest the digest of the members of the roster under which the sender acted before, 0 for none
@@ -187,9 +186,8 @@
      * @param sequence the request's sequence
      * @param verdict the decision
      * @param recovering whether the sender may have lost promises that it made before a restart
-     * @param freeNanos how long no lease has been in force at the sender that excludes a full grant
-     * @param freeForUnmovedNanos how long no lease has been in force at the sender that excludes a grant for unmoved
-     *     work
+     * @param freeNanos how long the sender has had no lease in force that excludes a full grant
+     * @param freeForUnmovedNanos how long the sender has had no lease in force that excludes a grant for unmoved work
      * @param highestVersion the highest roster version known to the sender
      * @param closedBelow the lowest roster version under which leases can still be granted
      * @param closedForNanos how long that bound has been in force
@@ -285,7 +283,8 @@
         }
     }
 
-    /** A replaced range of lines.
+    /**
+     * A replaced range of lines.
      *
      * @param fromLine the first line replaced, from 0, in the base text
      * @param removedLines the number of removed lines
@@ -298,7 +297,8 @@
         }
     }
 
-    /** The load of a node.
+    /**
+     * The load of a node.
      *
      * @param inFlight the requests in flight at the local copy
      * @param limit the adaptive concurrency limit
@@ -360,11 +360,9 @@
      * @param load the load of the sender's copy
      * @param workSeconds how long the sender's copy recently worked on a request, without its calls; 0 if unknown
      * @param sameZone whether the receiver is in the sender's availability zone, as far as the sender knows
-     * @param summed whether the receiver is to aggregate the report with others and to send the sender a summary of the
-     *     fleet
+     * @param summed whether the receiver is to aggregate the report and to send the sender a summary of the fleet
      * @param demands the demand of callers at the sender, by route; empty except for the one receiver that adds them up
-     * @param costs the cost of a request of each route at each service, as measured by the sender; empty like the
-     *     demands
+     * @param costs the cost of a request of each route at each service, as measured by the sender; empty like demands
      * @param uses the recent use of allowances by organisations at the sender
      */
     record NodeReport(
--- a/policy/src/main/java/org/carawaysill/policy/routing/RoutingSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/RoutingSettings.java
@@ -85,7 +85,8 @@
             return this;
         }
 
-        /** Builds the settings.
+        /**
+         * Builds the settings.
          *
          * @return the settings
          */
