--- a/model/src/main/java/org/carawaysill/model/configuration/PathPattern.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/PathPattern.java
@@ -51,7 +51,8 @@
                     "a * stands for a whole segment and ** for the rest at the end, found segment \"" + segment + '"');
         }
         if (isDotSegment(segment)) {
-            throw new IllegalArgumentException("a segment . or .. never arrives, found \"" + segment + '"');
+            throw new IllegalArgumentException(
+                    "a path must not contain a segment . or .., found segment \"" + segment + '"');
         }
     }
 
--- a/model/src/main/java/org/carawaysill/model/configuration/SelectorsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/SelectorsReader.java
@@ -74,7 +74,8 @@
 
     private static String name(String text) {
         if (text.isBlank() || text.length() > MAXIMUM_NAME_LENGTH) {
-            throw new IllegalArgumentException("a selector's name has 1 to " + MAXIMUM_NAME_LENGTH + " characters");
+            throw new IllegalArgumentException(
+                    "a selector's name must have 1 to " + MAXIMUM_NAME_LENGTH + " characters");
         }
         return text;
     }
--- a/model/src/main/java/org/carawaysill/model/configuration/ServiceLimits.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/ServiceLimits.java
@@ -17,7 +17,8 @@
 
     public ServiceLimits {
         if (!(retryBudget >= 0 && retryBudget <= 1) || keyLifetime.isNegative() || keyLifetime.isZero()) {
-            throw new IllegalArgumentException("retry budget must be 0 to 1 and the key lifetime positive");
+            throw new IllegalArgumentException(
+                    "the retry budget must be from 0 to 1 and the key lifetime must be positive");
         }
     }
 }
--- a/model/src/main/java/org/carawaysill/model/document/AddressFormat.java
+++ b/model/src/main/java/org/carawaysill/model/document/AddressFormat.java
@@ -44,7 +44,7 @@
             throw new IllegalArgumentException(EXPECTED + ", found \"" + text + '"');
         }
         if (use == Use.CONNECT && address.isAnyLocalAddress()) {
-            throw new IllegalArgumentException("an unspecified address can't be connected to: \"" + text + '"');
+            throw new IllegalArgumentException("cannot connect to an unspecified address: \"" + text + '"');
         }
         return host;
     }
--- a/model/src/main/java/org/carawaysill/model/fleet/Allowance.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Allowance.java
@@ -12,7 +12,8 @@
 
     public Allowance {
         if (!(perSecond > 0 && burst >= 0 && Double.isFinite(perSecond) && Double.isFinite(burst))) {
-            throw new IllegalArgumentException("an allowance needs a positive rate and a burst of 0 or more");
+            throw new IllegalArgumentException(
+                    "an allowance must have a finite positive rate and a finite burst of at least 0");
         }
     }
 
--- a/model/src/main/java/org/carawaysill/model/fleet/ClientLimits.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/ClientLimits.java
@@ -20,7 +20,7 @@
 
     public ClientLimits {
         if (headerBytes < 1 || bodyBytes < 1 || !headerTimeout.isPositive() || !idleTimeout.isPositive()) {
-            throw new IllegalArgumentException("limits of clients must be positive");
+            throw new IllegalArgumentException("client limits must be positive");
         }
     }
 }
--- a/model/src/main/java/org/carawaysill/model/fleet/CopyRecord.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/CopyRecord.java
@@ -34,7 +34,7 @@
 
     public CopyRecord {
         if (slots < 1) {
-            throw new IllegalArgumentException("a copy has at least one slot");
+            throw new IllegalArgumentException("a copy must have at least one slot");
         }
     }
 
--- a/model/src/main/java/org/carawaysill/model/fleet/Destination.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Destination.java
@@ -14,7 +14,7 @@
 
     public Destination {
         if (weight < 0) {
-            throw new IllegalArgumentException("a weight is not negative");
+            throw new IllegalArgumentException("a weight must not be negative");
         }
     }
 }
--- a/model/src/main/java/org/carawaysill/model/fleet/Revision.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Revision.java
@@ -25,7 +25,7 @@
 
     public Revision {
         if (era < UNKNOWN_ERA || number < 0) {
-            throw new IllegalArgumentException("no such era, or a negative number");
+            throw new IllegalArgumentException("the era must be at least -1 and the number at least 0");
         }
     }
 
--- a/model/src/main/java/org/carawaysill/model/fleet/Route.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Route.java
@@ -35,10 +35,10 @@
     public Route {
         destinations = List.copyOf(destinations);
         if (destinations.stream().noneMatch(destination -> destination.weight() > 0)) {
-            throw new IllegalArgumentException("route " + name + " has no destination");
+            throw new IllegalArgumentException("route " + name + " has no destination with a positive weight");
         }
         if (maximumAttempts < 1) {
-            throw new IllegalArgumentException("route " + name + " allows no attempt");
+            throw new IllegalArgumentException("route " + name + " must allow at least one attempt");
         }
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
             throw new IllegalArgumentException("the prefix of route " + name + " must begin and end with a slash");
--- a/model/src/main/java/org/carawaysill/model/identity/AttemptIdentifier.java
+++ b/model/src/main/java/org/carawaysill/model/identity/AttemptIdentifier.java
@@ -25,7 +25,7 @@
      */
     public static AttemptIdentifier parse(String text) {
         if (text.length() != TEXT_LENGTH) {
-            throw new IllegalArgumentException("an identifier has 32 hexadecimal digits");
+            throw new IllegalArgumentException("an identifier must have 32 hexadecimal digits");
         }
         return new AttemptIdentifier(
                 HexFormat.fromHexDigitsToLong(text, 0, HALF), HexFormat.fromHexDigitsToLong(text, HALF, TEXT_LENGTH));
--- a/model/src/main/java/org/carawaysill/model/identity/KeyDigest.java
+++ b/model/src/main/java/org/carawaysill/model/identity/KeyDigest.java
@@ -31,7 +31,7 @@
         try {
             return new KeyDigest(MessageDigest.getInstance(ALGORITHM).digest(key));
         } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("each Java platform has " + ALGORITHM, missing);
+            throw new IllegalStateException(ALGORITHM + " is not available", missing);
         }
     }
 
--- a/model/src/main/java/org/carawaysill/model/identity/OrganisationName.java
+++ b/model/src/main/java/org/carawaysill/model/identity/OrganisationName.java
@@ -12,7 +12,7 @@
 
     public OrganisationName {
         if (value.isBlank() || value.chars().anyMatch(Character::isISOControl)) {
-            throw new IllegalArgumentException("OrganisationName must not be blank or have control characters");
+            throw new IllegalArgumentException("OrganisationName must not be blank or contain control characters");
         }
     }
 
--- a/protocol/src/main/java/org/carawaysill/protocol/link/PeerLink.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/link/PeerLink.java
@@ -57,7 +57,7 @@
     }
 
     private static <T> T required(Optional<T> value, String name) {
-        return value.orElseThrow(() -> new IllegalStateException("a link needs a " + name));
+        return value.orElseThrow(() -> new IllegalStateException("the " + name + " of the peer link is not set"));
     }
 
     /**
