--- a/policy/src/main/java/org/carawaysill/policy/detection/FixedTimeout.java
+++ b/policy/src/main/java/org/carawaysill/policy/detection/FixedTimeoutDetector.java
@@ -5,25 +5,25 @@
 /**
  * Suspects a node that has been silent for a fixed time.
  *
- * <p>Invariant: a node is never suspected before its first sign of life, and the next one ends the suspicion. Not thread
- * safe: one thread owns it.
+ * <p>Invariant: a node is never suspected before its first message, and each message ends a suspicion. Not thread safe:
+ * one thread owns it.
  */
-public final class FixedTimeout {
+public final class FixedTimeoutDetector {
 
     private final long timeoutNanos;
     private long suspectsFromNanos = Long.MAX_VALUE;
 
     /**
-     * Creates a detector that has heard nothing yet.
+     * Creates a detector that has received no message yet.
      *
-     * @param timeout the silence that is suspicious
+     * @param timeout the silence after which the node is suspected
      */
-    public FixedTimeout(Duration timeout) {
+    public FixedTimeoutDetector(Duration timeout) {
         this.timeoutNanos = timeout.toNanos();
     }
 
     /**
-     * Takes in a sign of life.
+     * Records a heartbeat, or any other message, of the node.
      *
      * @param now its arrival in nanoseconds on the monotonic clock
      */
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Tells when suspicion begins if nothing more is heard.
+     * Returns when suspicion begins if no further message arrives.
      *
-     * @return a time in nanoseconds on the monotonic clock, {@link Long#MAX_VALUE} before the first sign of life
+     * @return a time in nanoseconds on the monotonic clock, {@link Long#MAX_VALUE} before the first message
      */
     public long suspectsFromNanos() {
         return suspectsFromNanos;
@@ -44,7 +44,7 @@
      * Tells whether the node is suspected.
      *
      * @param now nanoseconds on the monotonic clock
-     * @return whether it has been silent for too long
+     * @return true if it has been silent for at least the timeout
      */
     public boolean suspects(long now) {
         return now >= suspectsFromNanos;
--- a/policy/src/main/java/org/carawaysill/policy/detection/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/detection/package-info.java
@@ -1,4 +1,4 @@
-/** The failure detector: from when on a silent node is suspected. */
+/** The failure detector, which decides when a silent node is suspected. */
 @NullMarked
 package org.carawaysill.policy.detection;
 
--- a/policy/src/main/java/org/carawaysill/policy/membership/HeartbeatContent.java
+++ b/policy/src/main/java/org/carawaysill/policy/membership/HeartbeatContent.java
@@ -5,18 +5,18 @@
 import org.carawaysill.model.identity.ServiceName;
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
-/** What a heartbeat says beside that its sender lives. Owned by the thread that owns the policy. */
+/** Supplies the data that heartbeats carry. Not thread safe: the thread that owns the policy calls it. */
 public interface HeartbeatContent {
 
     /**
-     * Gives this node's load.
+     * Returns this node's current load.
      *
-     * @return the load now
+     * @return the current load
      */
     LoadReport load();
 
     /**
-     * Gives the configuration versions that concern a node.
+     * Returns the configuration versions that are relevant to a peer.
      *
      * @param peer the receiver
      * @return the version by service
--- a/policy/src/main/java/org/carawaysill/policy/membership/HeartbeatPlan.java
+++ b/policy/src/main/java/org/carawaysill/policy/membership/HeartbeatPlan.java
@@ -3,50 +3,55 @@
 import java.time.Duration;
 import java.util.Set;
 import org.carawaysill.model.identity.NodeName;
-import org.carawaysill.policy.detection.FixedTimeout;
+import org.carawaysill.policy.detection.FixedTimeoutDetector;
 
 /**
- * How often each connected node gets a heartbeat, and when its silence is suspicious.
+ * Computes the heartbeat interval and the suspicion timeout for each connected node.
  *
- * <p>Invariant: the heartbeats of one node per second have a bound that the number of its peers doesn't change. Immutable
- * and thread safe.
+ * <p>Invariant: the number of heartbeats that a node sends per second has an upper bound that doesn't depend on the
+ * number of its peers. Immutable and thread safe.
  *
- * @param settings the intervals and timeouts for few nodes
- * @param ownService the nodes of the own service, this one included
- * @param others how many nodes of other services are connected
+ * @param settings the intervals and timeouts for up to 32 nodes
+ * @param ownService the nodes of this node's service, including this node
+ * @param others the number of connected nodes of other services
  */
 record HeartbeatPlan(MembershipSettings settings, Set<NodeName> ownService, int others) {
 
-    /** Up to this many nodes get heartbeats at the set interval; beyond it the interval grows with their number. */
+    /**
+     * Up to this many nodes get heartbeats at the configured interval; with more, the interval grows with their number.
+     */
     private static final int NODES_AT_INTERVAL = 32;
 
     HeartbeatPlan {
         ownService = Set.copyOf(ownService);
     }
 
-    long silenceNanos(NodeName node) {
+    long maximumSilenceNanos(NodeName node) {
         return isOwn(node)
-                ? stretched(settings.interval(), ownService.size())
-                : stretched(settings.intervalBetweenServices(), others);
+                ? scaledNanos(settings.interval(), ownService.size())
+                : scaledNanos(settings.intervalBetweenServices(), others);
     }
 
-    /** Heartbeats carry the configuration versions and a copy's load, also where other messages show life. */
-    long longestNanos(NodeName node) {
-        return isOwn(node) ? 2 * silenceNanos(node) : silenceNanos(node);
+    /**
+     * Returns the longest time between two heartbeats. It applies also while other messages show that this node is
+     * alive, because heartbeats carry the configuration versions and the copy's load.
+     */
+    long maximumIntervalNanos(NodeName node) {
+        return isOwn(node) ? 2 * maximumSilenceNanos(node) : maximumSilenceNanos(node);
     }
 
-    FixedTimeout detector(NodeName node) {
-        return new FixedTimeout(Duration.ofNanos(
+    FixedTimeoutDetector detector(NodeName node) {
+        return new FixedTimeoutDetector(Duration.ofNanos(
                 isOwn(node)
-                        ? stretched(settings.timeout(), ownService.size())
-                        : stretched(settings.timeoutBetweenServices(), others)));
+                        ? scaledNanos(settings.timeout(), ownService.size())
+                        : scaledNanos(settings.timeoutBetweenServices(), others)));
     }
 
     private boolean isOwn(NodeName node) {
         return ownService.contains(node);
     }
 
-    private static long stretched(Duration duration, int nodes) {
+    private static long scaledNanos(Duration duration, int nodes) {
         return duration.toNanos() * Math.max(nodes, NODES_AT_INTERVAL) / NODES_AT_INTERVAL;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/membership/Membership.java
+++ b/policy/src/main/java/org/carawaysill/policy/membership/Membership.java
@@ -22,11 +22,11 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Which nodes this node keeps connections to, what it believes of them, and the heartbeats that it sends.
+ * Decides which nodes to connect to, tracks their states, and sends heartbeats to them.
  *
- * <p>Invariant: a node that announced that it is leaving, or that newly appeared so in the list of VMs, may get no new work
- * until a later process connects under its name. The heartbeats sent per second have a bound that the fleet's size doesn't
- * change. Not thread safe: one thread owns it.
+ * <p>Invariant: a node that announced that it is leaving, or that the list of VMs newly shows as leaving, gets no new
+ * work until a later process connects under its name. The number of heartbeats sent per second has an upper bound that
+ * doesn't depend on the size of the fleet. Not thread safe: one thread owns it.
  */
 public final class Membership {
 
@@ -34,8 +34,9 @@
     private static final long LONGEST_SLEEP_NANOS = Duration.ofSeconds(1).toNanos();
 
     /**
-     * A process that was paused finds every peer silent for the length of its pause, although their messages wait unread;
-     * it would suspect all of them at once. After a gap as long as this in its own events, every silence starts anew.
+     * A gap between this node's own events that counts as a pause of its process. After a pause every peer seems to
+     * have been silent, although its messages wait unread, and all peers would be suspected at once. After such a gap,
+     * the silence of each peer is therefore measured anew.
      */
     private static final long OWN_PAUSE_NANOS = 2 * LONGEST_SLEEP_NANOS;
 
@@ -50,10 +51,10 @@
     private boolean leaving;
 
     /**
-     * Creates the membership of a node that has just started.
+     * Creates the membership of a starting node.
      *
      * @param self this node
-     * @param settings how to watch
+     * @param settings the heartbeat intervals and timeouts
      * @param random the source of jitter
      */
     public Membership(NodeName self, MembershipSettings settings, RandomGenerator random) {
@@ -63,11 +64,11 @@
     }
 
     /**
-     * Sets the nodes to keep connections to; without a change nothing happens.
+     * Sets the nodes to keep connections to. Has no effect if they are unchanged.
      *
-     * @param own the nodes of the own service
-     * @param called the chosen nodes of the services that this node calls
-     * @return connections to open and to close
+     * @param own the nodes of this node's service
+     * @param called the selected nodes of the services that this node calls
+     * @return the connections to open and to close
      */
     public List<Effect> watch(List<CopyEntry> own, List<CopyEntry> called) {
         Map<NodeName, CopyEntry> next = new TreeMap<>();
@@ -89,7 +90,7 @@
                 .forEach(effects::add);
         watched.clear();
         watched.putAll(next);
-        replan(ownService);
+        updateHeartbeatPlan(ownService);
         return effects;
     }
 
@@ -98,40 +99,41 @@
                 .isPresent();
     }
 
-    private void replan(Set<NodeName> ownService) {
+    private void updateHeartbeatPlan(Set<NodeName> ownService) {
         peers.entrySet().removeIf(entry -> !entry.getValue().isConnected() && !watched.containsKey(entry.getKey()));
         int others = (int) connectedPeers().stream()
                 .filter(node -> !ownService.contains(node))
                 .count();
         plan = new HeartbeatPlan(plan.settings(), ownService, others);
-        peers.forEach((node, peer) -> peer.detectBy(plan.detector(node)));
+        peers.forEach((node, peer) -> peer.replaceDetector(plan.detector(node)));
     }
 
     /**
-     * Takes in an event; those that don't concern membership change nothing.
+     * Handles an event. Any event, also one that doesn't concern membership, triggers the heartbeats and the read of
+     * the list of VMs that are due.
      *
-     * @param now the moment
-     * @param event what happened; the first one starts the work
-     * @param content what heartbeats say
-     * @return what to do
+     * @param now the time of the event
+     * @param event the event; the first one starts the heartbeats and the reads of the list of VMs
+     * @param content supplies the data that heartbeats carry
+     * @return the effects to perform
      */
     public List<Effect> handle(Moment now, Event event, HeartbeatContent content) {
-        forgiveOwnPause(now.nanos());
+        resetSilencesAfterOwnPause(now.nanos());
         List<Effect> effects = new ArrayList<>();
         switch (event) {
             case Event.PeerConnected peer -> {
                 peer(peer.peer()).connected(now.nanos(), peer.incarnation());
-                replan(plan.ownService());
-                effects.addAll(signOfLife(now.nanos(), peer.peer(), content));
-                showChange(now.nanos(), peer.peer(), effects);
+                updateHeartbeatPlan(plan.ownService());
+                effects.addAll(heartbeatMessages(now.nanos(), peer.peer(), content));
+                logStateChange(now.nanos(), peer.peer(), effects);
             }
             case Event.PeerLost lost -> {
-                peer(lost.peer()).lost();
-                showChange(now.nanos(), lost.peer(), effects);
-                replan(plan.ownService());
+                peer(lost.peer()).disconnected();
+                logStateChange(now.nanos(), lost.peer(), effects);
+                updateHeartbeatPlan(plan.ownService());
             }
-            case Event.PeerReceived received -> received(now.nanos(), received, effects);
-            case Event.VmListRead read -> listed(now.nanos(), read, content, effects);
+            case Event.PeerReceived received -> handlePeerMessage(now.nanos(), received, effects);
+            case Event.VmListRead read -> handleVmList(now.nanos(), read, content, effects);
             case Event.DrainOrdered _ -> effects.addAll(leave(now.nanos(), content));
             case Event.WakeUp _,
                     Event.CallerRequest _,
@@ -150,27 +152,28 @@
         return effects;
     }
 
-    private void forgiveOwnPause(long now) {
+    private void resetSilencesAfterOwnPause(long now) {
         if (lastEventNanos != Long.MAX_VALUE && now - lastEventNanos > OWN_PAUSE_NANOS) {
-            peers.values().forEach(peer -> peer.heard(now));
+            peers.values().forEach(peer -> peer.messageReceived(now));
         }
         lastEventNanos = now;
     }
 
-    private void received(long now, Event.PeerReceived received, List<Effect> effects) {
+    private void handlePeerMessage(long now, Event.PeerReceived received, List<Effect> effects) {
         Peer peer = peer(received.from());
-        peer.heard(now);
-        if (tellsLeaving(received.from(), received.message())) {
+        peer.messageReceived(now);
+        if (announcesLeaving(received.from(), received.message())) {
             peer.leaving();
         }
-        showChange(now, received.from(), effects);
+        logStateChange(now, received.from(), effects);
     }
 
     /**
-     * A drain notice may be lost with its connection; a node that leaves then still refuses work for that reason, so that
-     * whoever missed the notice learns it from its first request.
+     * Tells whether a message shows that its sender is leaving. A drain notice may be lost with its connection. A
+     * leaving node also refuses work as draining, so a peer that missed the notice learns of it from the answer to its
+     * next request.
      */
-    private static boolean tellsLeaving(NodeName from, PeerMessage message) {
+    private static boolean announcesLeaving(NodeName from, PeerMessage message) {
         if (message instanceof PeerMessage.PeerAnswer answer && answer.outcome() instanceof Outcome.NotRun notRun) {
             return notRun.reason() == RefusalReason.DRAINING
                     && notRun.peer().map(from::equals).orElse(true);
@@ -178,15 +181,15 @@
         return message instanceof PeerMessage.DrainNotice;
     }
 
-    private void listed(long now, Event.VmListRead read, HeartbeatContent content, List<Effect> effects) {
-        boolean first = !vmList.readBefore();
+    private void handleVmList(long now, Event.VmListRead read, HeartbeatContent content, List<Effect> effects) {
+        boolean first = !vmList.hasBeenRead();
         for (NodeName node : vmList.newlyLeaving(read.list())) {
             if (node.equals(self)) {
-                // The first list may still show the VM that had this name before; only a change concerns this process.
+                // The first list may still show an earlier VM of this name; only a later change refers to this process.
                 effects.addAll(first ? List.of() : leave(now, content));
             } else if (peers.containsKey(node) || watched.containsKey(node)) {
                 peer(node).leaving();
-                showChange(now, node, effects);
+                logStateChange(now, node, effects);
             }
         }
     }
@@ -198,7 +201,7 @@
         leaving = true;
         List<Effect> effects = new ArrayList<>();
         effects.add(new Effect.LogChange(Step.DRAIN, self, "this node is leaving"));
-        connectedPeers().forEach(node -> effects.addAll(signOfLife(now, node, content)));
+        connectedPeers().forEach(node -> effects.addAll(heartbeatMessages(now, node, content)));
         return effects;
     }
 
@@ -207,12 +210,12 @@
         long next = vmList.nextWakeNanos();
         for (NodeName node : connectedPeers()) {
             if (now >= nextHeartbeatNanos(node)) {
-                effects.addAll(signOfLife(now, node, content));
+                effects.addAll(heartbeatMessages(now, node, content));
             }
-            showChange(now, node, effects);
+            logStateChange(now, node, effects);
             next = Math.min(next, nextHeartbeatNanos(node));
         }
-        if (vmList.takeDue(now)) {
+        if (vmList.startReadIfDue(now)) {
             effects.add(new Effect.ReadVmList());
         }
         nextWakeNanos = Math.clamp(next, now + TICK_NANOS, now + LONGEST_SLEEP_NANOS);
@@ -220,11 +223,11 @@
     }
 
     private long nextHeartbeatNanos(NodeName node) {
-        return peer(node).nextHeartbeatNanos(plan.silenceNanos(node), plan.longestNanos(node));
+        return peer(node).nextHeartbeatNanos(plan.maximumSilenceNanos(node), plan.maximumIntervalNanos(node));
     }
 
-    /** A heartbeat, and while this node is leaving the drain notice again, since any one of them may be lost. */
-    private List<Effect> signOfLife(long now, NodeName node, HeartbeatContent content) {
+    /** Creates a heartbeat. While this node is leaving, repeats the drain notice too, because each one may be lost. */
+    private List<Effect> heartbeatMessages(long now, NodeName node, HeartbeatContent content) {
         sequence++;
         peer(node).sentHeartbeat(now);
         Effect heartbeat = new Effect.SendToPeer(
@@ -234,8 +237,8 @@
                 : List.of(heartbeat);
     }
 
-    private void showChange(long now, NodeName node, List<Effect> effects) {
-        if (peer(node).changed(now) && watched.containsKey(node)) {
+    private void logStateChange(long now, NodeName node, List<Effect> effects) {
+        if (peer(node).stateChanged(now) && watched.containsKey(node)) {
             String line = node + " is now " + peer(node).state(now).name().toLowerCase(Locale.ROOT);
             effects.add(new Effect.LogChange(Step.MEMBERSHIP, node, line));
         }
@@ -253,7 +256,7 @@
     }
 
     /**
-     * Tells that a message was sent, so that no heartbeat is needed for a while.
+     * Records that a message was sent, which postpones the next heartbeat to that node.
      *
      * @param now nanoseconds on the monotonic clock
      * @param node the receiver
@@ -269,23 +272,23 @@
      *
      * @param now nanoseconds on the monotonic clock
      * @param node the node
-     * @return whether it is connected, not suspected and not leaving
+     * @return true if it is connected, not suspected and not leaving
      */
     public boolean mayGetNewWork(long now, NodeName node) {
         return peers.containsKey(node) && peer(node).state(now) == PeerState.LIVE;
     }
 
     /**
-     * Tells whether this node itself is leaving: its operator ordered it, or the list of VMs says so.
+     * Tells whether this node itself is leaving, by order of its operator or according to the list of VMs.
      *
-     * @return whether it should refuse new work
+     * @return true if this node should refuse new work
      */
     public boolean isLeaving() {
         return leaving;
     }
 
     /**
-     * Gives the state of each watched node.
+     * Returns the state of each watched node.
      *
      * @param now nanoseconds on the monotonic clock
      * @return the state by node
@@ -297,7 +300,7 @@
     }
 
     /**
-     * Tells when to wake it if nothing happens before.
+     * Returns the time of the next wake-up if no event comes before.
      *
      * @return nanoseconds on the monotonic clock
      */
--- a/policy/src/main/java/org/carawaysill/policy/membership/MembershipSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/membership/MembershipSettings.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * How a node watches others.
+ * Configures heartbeats, suspicion timeouts and reads of the list of VMs.
  *
  * <p>Immutable and thread safe.
  *
- * @param interval the longest silence towards a node of the own service
- * @param intervalBetweenServices the longest silence towards a node of another service
- * @param timeout the silence after which a node of the own service is suspected
+ * @param interval the longest time without a message to a node of this node's service
+ * @param intervalBetweenServices the longest time without a message to a node of another service
+ * @param timeout the silence after which a node of this node's service is suspected
  * @param timeoutBetweenServices the silence after which a node of another service is suspected
  * @param vmListInterval the shortest time between two reads of the list of VMs
  */
@@ -20,11 +20,11 @@
         Duration timeoutBetweenServices,
         Duration vmListInterval) {
 
-    /** The settings that the decision records argue for. */
+    /** The default settings; the decision records give the reasons for them. */
     public static final MembershipSettings DEFAULT = builder().build();
 
     /**
-     * Starts from the settings that the decision records argue for.
+     * Creates a builder that starts from the default settings.
      *
      * @return a builder
      */
@@ -32,7 +32,7 @@
         return new Builder();
     }
 
-    /** Collects settings. Not thread safe. */
+    /** Builds settings. Not thread safe. */
     public static final class Builder {
 
         private Duration interval = Duration.ofSeconds(1);
@@ -44,35 +44,35 @@
         private Builder() {}
 
         /**
-         * Sets how a node of the own service is watched.
+         * Sets the interval and the timeout for nodes of this node's service.
          *
-         * @param silence the longest silence of a living node
-         * @param suspicion the silence after which it is suspected
+         * @param maximumSilence the longest time in which a running node sends no message
+         * @param suspicionTimeout the silence after which a node is suspected
          * @return this builder
          */
-        public Builder ownService(Duration silence, Duration suspicion) {
-            interval = silence;
-            timeout = suspicion;
+        public Builder ownService(Duration maximumSilence, Duration suspicionTimeout) {
+            interval = maximumSilence;
+            timeout = suspicionTimeout;
             return this;
         }
 
         /**
-         * Sets how a node of another service is watched.
+         * Sets the interval and the timeout for nodes of other services.
          *
-         * @param silence the longest silence of a living node
-         * @param suspicion the silence after which it is suspected
+         * @param maximumSilence the longest time in which a running node sends no message
+         * @param suspicionTimeout the silence after which a node is suspected
          * @return this builder
          */
-        public Builder otherServices(Duration silence, Duration suspicion) {
-            intervalBetweenServices = silence;
-            timeoutBetweenServices = suspicion;
+        public Builder otherServices(Duration maximumSilence, Duration suspicionTimeout) {
+            intervalBetweenServices = maximumSilence;
+            timeoutBetweenServices = suspicionTimeout;
             return this;
         }
 
         /**
-         * Sets how often the list of VMs is read while it is short.
+         * Sets the shortest time between two reads of the list of VMs. A longer list is read less often.
          *
-         * @param duration the time between two reads
+         * @param duration the shortest time between two reads
          * @return this builder
          */
         public Builder vmListInterval(Duration duration) {
@@ -81,7 +81,7 @@
         }
 
         /**
-         * Finishes.
+         * Builds the settings.
          *
          * @return the settings
          */
--- a/policy/src/main/java/org/carawaysill/policy/membership/Peer.java
+++ b/policy/src/main/java/org/carawaysill/policy/membership/Peer.java
@@ -1,36 +1,36 @@
 package org.carawaysill.policy.membership;
 
-import org.carawaysill.policy.detection.FixedTimeout;
+import org.carawaysill.policy.detection.FixedTimeoutDetector;
 import org.carawaysill.policy.effect.PeerState;
 
 /**
- * What this node knows of another.
+ * The known state of one other node.
  *
- * <p>Invariant: leaving belongs to one process; only a later process under the same name ends it. Not thread safe: one
- * thread owns it.
+ * <p>Invariant: once a process is marked as leaving, only a later process under the same name clears the mark. Not
+ * thread safe: one thread owns it.
  */
 final class Peer {
 
-    private FixedTimeout detector;
-    private long heardNanos;
+    private FixedTimeoutDetector detector;
+    private long lastReceivedNanos;
     private long incarnation = Long.MIN_VALUE;
     private boolean connected;
     private boolean leaving;
     private long lastSentNanos;
     private long lastHeartbeatNanos;
-    private PeerState shown = PeerState.UNREACHABLE;
+    private PeerState lastReportedState = PeerState.UNREACHABLE;
 
-    Peer(FixedTimeout detector) {
+    Peer(FixedTimeoutDetector detector) {
         this.detector = detector;
     }
 
-    void detectBy(FixedTimeout replacement) {
+    void replaceDetector(FixedTimeoutDetector replacement) {
         detector = replacement;
-        detector.heartbeat(heardNanos);
+        detector.heartbeat(lastReceivedNanos);
     }
 
     /**
-     * A connection was opened.
+     * Records that a connection was opened.
      *
      * @param now nanoseconds on the monotonic clock
      * @param newIncarnation the start time of the other process
@@ -41,12 +41,12 @@
             leaving = false;
         }
         connected = true;
-        heard(now);
+        messageReceived(now);
         lastSentNanos = now;
         lastHeartbeatNanos = now;
     }
 
-    void lost() {
+    void disconnected() {
         connected = false;
     }
 
@@ -54,8 +54,8 @@
         return connected;
     }
 
-    void heard(long now) {
-        heardNanos = now;
+    void messageReceived(long now) {
+        lastReceivedNanos = now;
         detector.heartbeat(now);
     }
 
@@ -73,15 +73,15 @@
     }
 
     /**
-     * Tells when the next heartbeat is due: after a silence, and from time to time also without one, since heartbeats
-     * alone carry the configuration versions.
+     * Returns when the next heartbeat is due. A heartbeat is due when nothing was sent for a while, and at a longer
+     * interval also between other messages, because only heartbeats carry the configuration versions.
      *
-     * @param silenceNanos the longest time without any message
-     * @param longestNanos the longest time between two heartbeats
+     * @param maximumSilenceNanos the longest time without any message
+     * @param maximumIntervalNanos the longest time between two heartbeats
      * @return nanoseconds on the monotonic clock
      */
-    long nextHeartbeatNanos(long silenceNanos, long longestNanos) {
-        return Math.min(lastSentNanos + silenceNanos, lastHeartbeatNanos + longestNanos);
+    long nextHeartbeatNanos(long maximumSilenceNanos, long maximumIntervalNanos) {
+        return Math.min(lastSentNanos + maximumSilenceNanos, lastHeartbeatNanos + maximumIntervalNanos);
     }
 
     PeerState state(long now) {
@@ -95,15 +95,15 @@
     }
 
     /**
-     * Notes the state.
+     * Compares the state with that of the previous call, and remembers it.
      *
      * @param now nanoseconds on the monotonic clock
-     * @return whether it differs from the one noted before
+     * @return true if the state differs from that of the previous call
      */
-    boolean changed(long now) {
+    boolean stateChanged(long now) {
         PeerState state = state(now);
-        boolean changed = state != shown;
-        shown = state;
+        boolean changed = state != lastReportedState;
+        lastReportedState = state;
         return changed;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/membership/VmListWatch.java
+++ b/policy/src/main/java/org/carawaysill/policy/membership/VmListWatch.java
@@ -9,10 +9,10 @@
 import org.carawaysill.model.vm.VmState;
 
 /**
- * Reads the list of VMs from time to time and tells who newly appears in it as leaving.
+ * Schedules the reads of the list of VMs and finds the nodes that it newly shows as leaving.
  *
- * <p>Invariant: the bytes read per second have a bound that the fleet's size doesn't change: a list of more VMs is read less
- * often. Not thread safe: one thread owns it.
+ * <p>Invariant: the number of bytes read per second has an upper bound that doesn't depend on the size of the fleet,
+ * because a longer list is read less often. Not thread safe: one thread owns it.
  */
 final class VmListWatch {
 
@@ -20,32 +20,32 @@
     private static final int BYTES_PER_SECOND = 2_000;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    private final long shortestNanos;
+    private final long minimumIntervalNanos;
     private final RandomGenerator random;
     private Optional<VmList> last = Optional.empty();
     private long nextReadNanos = Long.MIN_VALUE;
 
-    VmListWatch(Duration shortest, RandomGenerator random) {
-        this.shortestNanos = shortest.toNanos();
+    VmListWatch(Duration minimumInterval, RandomGenerator random) {
+        this.minimumIntervalNanos = minimumInterval.toNanos();
         this.random = random;
     }
 
-    boolean takeDue(long now) {
+    boolean startReadIfDue(long now) {
         if (now < nextReadNanos) {
             return false;
         }
         int entries = last.map(list -> list.states().size()).orElse(0);
-        long interval = Math.max(shortestNanos, entries * NANOS_PER_SECOND / BYTES_PER_SECOND * BYTES_PER_VM);
+        long interval = Math.max(minimumIntervalNanos, entries * NANOS_PER_SECOND / BYTES_PER_SECOND * BYTES_PER_VM);
         nextReadNanos = now + interval / 2 + random.nextLong(interval);
         return true;
     }
 
     /**
-     * Takes in a list.
+     * Processes a list that was read.
      *
      * @param list the list
-     * @return the nodes that are listed as leaving and were not so in the list before; a name that stays listed while a new
-     *     process starts under it is not told again
+     * @return the nodes that are leaving in this list and were not in the previous one; a name that stays listed as
+     *     leaving while a new process starts under it is not returned again
      */
     List<NodeName> newlyLeaving(VmList list) {
         List<NodeName> leaving = list.states().keySet().stream()
@@ -57,7 +57,7 @@
         return leaving;
     }
 
-    boolean readBefore() {
+    boolean hasBeenRead() {
         return last.isPresent();
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/membership/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Which nodes this node watches, what it believes of them, and who is leaving. */
+/** Membership: the nodes that this node is connected to, their states, and which of them are leaving. */
 @NullMarked
 package org.carawaysill.policy.membership;
 
--- a/policy/src/test/java/org/carawaysill/policy/detection/ArrivalWindow.java
+++ b/policy/src/test/java/org/carawaysill/policy/detection/ArrivalWindow.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The last arrivals of heartbeats that are sent on a fixed schedule, and what they tell of the next one. */
+/** Keeps the last 200 arrivals of heartbeats sent on a fixed schedule, and estimates the next one. Not thread safe. */
 final class ArrivalWindow {
 
     private static final int SIZE = 200;
@@ -55,7 +55,7 @@
         return Math.sqrt(Math.max(0, squares / size() - meanInterval() * meanInterval()));
     }
 
-    /** Chen's expected arrival of the next heartbeat, equation 2 of the paper on the self-tuning detector. */
+    /** Returns Chen's expected arrival of the next heartbeat (equation 2 of the paper on the self-tuning detector). */
     double expectedNext() {
         return offsets / size() + (double) schedule * (lastSequence + 1);
     }
--- a/policy/src/test/java/org/carawaysill/policy/detection/ChenDetector.java
+++ b/policy/src/test/java/org/carawaysill/policy/detection/ChenDetector.java
@@ -1,17 +1,17 @@
 package org.carawaysill.policy.detection;
 
-/** Chen's estimator: the expected arrival of the next heartbeat plus a constant margin. */
+/** Chen's failure detector: suspects a node from the expected arrival of its next heartbeat plus a constant margin. */
 final class ChenDetector implements Detector {
 
     private static final int WARM_UP = 5;
 
     private final ArrivalWindow window = new ArrivalWindow(HeartbeatTrace.INTERVAL);
     private final double marginNanos;
-    private final long timeoutAtFirstNanos;
+    private final long initialTimeoutNanos;
 
-    ChenDetector(double marginNanos, long timeoutAtFirstNanos) {
+    ChenDetector(double marginNanos, long initialTimeoutNanos) {
         this.marginNanos = marginNanos;
-        this.timeoutAtFirstNanos = timeoutAtFirstNanos;
+        this.initialTimeoutNanos = initialTimeoutNanos;
     }
 
     @Override
@@ -22,7 +22,7 @@
     @Override
     public long suspectsFromNanos() {
         if (window.size() < WARM_UP) {
-            return window.size() == 0 ? Long.MAX_VALUE : window.last() + timeoutAtFirstNanos;
+            return window.size() == 0 ? Long.MAX_VALUE : window.last() + initialTimeoutNanos;
         }
         return (long) (window.expectedNext() + marginNanos);
     }
--- a/policy/src/test/java/org/carawaysill/policy/detection/Detector.java
+++ b/policy/src/test/java/org/carawaysill/policy/detection/Detector.java
@@ -2,16 +2,16 @@
 
 import java.time.Duration;
 
-/** What is compared: heartbeats carry a sequence, which some use. */
+/** A failure detector under comparison. Heartbeats carry a sequence number, which only some detectors use. */
 interface Detector {
 
     void heartbeat(long now, int sequence);
 
     long suspectsFromNanos();
 
-    /** The one in use, which needs no sequence. */
+    /** Creates the detector that the nodes use; it ignores the sequence number. */
     static Detector fixed(Duration timeout) {
-        FixedTimeout detector = new FixedTimeout(timeout);
+        FixedTimeoutDetector detector = new FixedTimeoutDetector(timeout);
         return new Detector() {
             @Override
             public void heartbeat(long now, int sequence) {
--- a/policy/src/test/java/org/carawaysill/policy/detection/DetectorComparisonTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/detection/DetectorComparisonTest.java
@@ -12,11 +12,11 @@
 import org.carawaysill.policy.detection.HeartbeatTrace.Trouble;
 import org.junit.jupiter.api.Test;
 
-/** Detectors on the same traces of 10 hours each, a heartbeat a second. */
+/** Compares failure detectors on the same 10 traces of one hour for each disturbance, with one heartbeat per second. */
 class DetectorComparisonTest {
 
     private static final int SEEDS = 10;
-    private static final long FIRST = Duration.ofMillis(3_500).toNanos();
+    private static final long INITIAL_TIMEOUT_NANOS = Duration.ofMillis(3_500).toNanos();
 
     private record Quality(double detectionSeconds, double mistakesPerHour, double accuracy) {}
 
@@ -46,15 +46,16 @@
             detectors.put("fixed " + millis + " ms", () -> Detector.fixed(Duration.ofMillis(millis)));
         }
         for (int millis : new int[] {500, 1_000, 1_500, 2_500}) {
-            detectors.put("Chen margin " + millis + " ms", () -> new ChenDetector(millis * 1e6, FIRST));
+            detectors.put("Chen margin " + millis + " ms", () -> new ChenDetector(millis * 1e6, INITIAL_TIMEOUT_NANOS));
         }
         for (int threshold : new int[] {3, 8, 16}) {
-            detectors.put("phi accrual " + threshold, () -> new PhiAccrualDetector(threshold, 100e6, FIRST));
+            detectors.put(
+                    "phi accrual " + threshold, () -> new PhiAccrualDetector(threshold, 100e6, INITIAL_TIMEOUT_NANOS));
         }
         for (int millis : new int[] {1_500, 2_500, 3_500}) {
             detectors.put(
                     "self-tuning, detection " + millis + " ms",
-                    () -> new SelfTuningDetector(100e6, millis * 1_000_000L, 0.5, 0.9999, FIRST));
+                    () -> new SelfTuningDetector(100e6, millis * 1_000_000L, 0.5, 0.9999, INITIAL_TIMEOUT_NANOS));
         }
         return detectors;
     }
@@ -74,7 +75,8 @@
                     suspected += heartbeat.arrived() - detector.suspectsFromNanos();
                 }
                 detector.heartbeat(heartbeat.arrived(), heartbeat.sequence());
-                // A crash comes at any time before the next heartbeat would be sent: on average half an interval later.
+                // A crash happens at any time before the next heartbeat is due: on average half an interval after the
+                // last one.
                 detection += detector.suspectsFromNanos() - heartbeat.sent() - HeartbeatTrace.INTERVAL / 2.0;
             }
             heartbeats += trace.size();
--- a/policy/src/test/java/org/carawaysill/policy/detection/HeartbeatTrace.java
+++ b/policy/src/test/java/org/carawaysill/policy/detection/HeartbeatTrace.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Heartbeats of one hour on a fixed schedule, with the times at which they were sent and arrived. */
+/** Heartbeats of one hour on a fixed schedule, with the times at which they were sent and received. */
 record HeartbeatTrace(List<Heartbeat> heartbeats) {
 
     static final long INTERVAL = 1_000_000_000L;
@@ -13,7 +13,7 @@
 
     record Heartbeat(int sequence, long sent, long arrived) {}
 
-    /** What disturbs the heartbeats of a node that lives. */
+    /** A disturbance of the heartbeats of a running node. */
     enum Trouble {
         CALM,
         SHORT_PAUSES,
@@ -30,7 +30,7 @@
         long arrived = 0;
         for (int i = 0; i < COUNT; i++) {
             sent = Math.max(sent, i * INTERVAL + (long) senderDelay(trouble, random));
-            arrived = Math.max(arrived, sent + (long) wayDelay(trouble, random));
+            arrived = Math.max(arrived, sent + (long) networkDelay(trouble, random));
             if (trouble != Trouble.LOST_HEARTBEATS || random.nextDouble() >= 0.02) {
                 heartbeats.add(new Heartbeat(i, sent, arrived));
             }
@@ -38,7 +38,10 @@
         return new HeartbeatTrace(heartbeats);
     }
 
-    /** Pauses of the sender, and its late wake-ups; what was due meanwhile follows at once. */
+    /**
+     * Returns the delay from pauses and late wake-ups of the sender. Heartbeats that became due meanwhile follow at
+     * once.
+     */
     private static double senderDelay(Trouble trouble, SplittableRandom random) {
         double late = exponential(random, 2 * MILLISECOND);
         return switch (trouble) {
@@ -49,15 +52,15 @@
         };
     }
 
-    /** The way over the network; TCP sends a lost segment again after 200 ms, then twice that, and so on. */
-    private static double wayDelay(Trouble trouble, SplittableRandom random) {
-        double way = 1.5 * MILLISECOND + exponential(random, MILLISECOND);
+    /** Returns the network delay. TCP retransmits a lost segment after 200 ms and doubles the timeout each time. */
+    private static double networkDelay(Trouble trouble, SplittableRandom random) {
+        double delay = 1.5 * MILLISECOND + exponential(random, MILLISECOND);
         double timeout = 200 * MILLISECOND;
         while (trouble == Trouble.RETRANSMISSIONS && random.nextDouble() < 0.05) {
-            way += timeout;
+            delay += timeout;
             timeout *= 2;
         }
-        return way;
+        return delay;
     }
 
     private static double exponential(SplittableRandom random, double mean) {
--- a/policy/src/test/java/org/carawaysill/policy/detection/PhiAccrualDetector.java
+++ b/policy/src/test/java/org/carawaysill/policy/detection/PhiAccrualDetector.java
@@ -1,6 +1,6 @@
 package org.carawaysill.policy.detection;
 
-/** Suspects when the silence is longer than all but a fraction 10^-threshold of normally distributed intervals. */
+/** Suspects a node when its silence exceeds all but a fraction 10^-threshold of normally distributed intervals. */
 final class PhiAccrualDetector implements Detector {
 
     private static final int WARM_UP = 5;
@@ -8,16 +8,19 @@
 
     private final ArrivalWindow window = new ArrivalWindow(HeartbeatTrace.INTERVAL);
     private final double deviations;
-    private final double leastDeviationNanos;
-    private final long timeoutAtFirstNanos;
+    private final double minimumDeviationNanos;
+    private final long initialTimeoutNanos;
 
-    PhiAccrualDetector(double threshold, double leastDeviationNanos, long timeoutAtFirstNanos) {
+    PhiAccrualDetector(double threshold, double minimumDeviationNanos, long initialTimeoutNanos) {
         this.deviations = deviationsAt(threshold);
-        this.leastDeviationNanos = leastDeviationNanos;
-        this.timeoutAtFirstNanos = timeoutAtFirstNanos;
+        this.minimumDeviationNanos = minimumDeviationNanos;
+        this.initialTimeoutNanos = initialTimeoutNanos;
     }
 
-    /** How many standard deviations above the mean only 10^-threshold of a normal distribution lies. */
+    /**
+     * Returns the number of standard deviations above the mean beyond which 10^-threshold of a normal distribution
+     * lies.
+     */
     private static double deviationsAt(double threshold) {
         double wanted = Math.pow(10, -threshold);
         double tail = 0;
@@ -37,9 +40,9 @@
     @Override
     public long suspectsFromNanos() {
         if (window.size() < WARM_UP) {
-            return window.size() == 0 ? Long.MAX_VALUE : window.last() + timeoutAtFirstNanos;
+            return window.size() == 0 ? Long.MAX_VALUE : window.last() + initialTimeoutNanos;
         }
-        double deviation = Math.max(leastDeviationNanos, window.standardDeviation());
+        double deviation = Math.max(minimumDeviationNanos, window.standardDeviation());
         return (long) (window.last() + window.meanInterval() + deviations * deviation);
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/detection/SelfTuningDetector.java
+++ b/policy/src/test/java/org/carawaysill/policy/detection/SelfTuningDetector.java
@@ -1,8 +1,8 @@
 package org.carawaysill.policy.detection;
 
 /**
- * The self-tuning detector (SFD) of Xiong et al.: Chen's expected arrival plus a margin that grows by a step while too many
- * mistakes are made and shrinks while detection takes longer than wanted.
+ * The self-tuning failure detector (SFD) of Xiong et al.: Chen's expected arrival plus a margin. The margin grows by a
+ * step while the detector makes too many mistakes, and shrinks while detection takes longer than wanted.
  */
 final class SelfTuningDetector implements Detector {
 
@@ -14,7 +14,7 @@
     private final long wantedDetectionNanos;
     private final double wantedMistakesPerHour;
     private final double wantedAccuracy;
-    private final long timeoutAtFirstNanos;
+    private final long initialTimeoutNanos;
     private double marginNanos;
     private int heartbeats;
     private int mistakes;
@@ -27,13 +27,13 @@
             long wantedDetectionNanos,
             double wantedMistakesPerHour,
             double wantedAccuracy,
-            long timeoutAtFirstNanos) {
+            long initialTimeoutNanos) {
         this.stepNanos = stepNanos;
         this.marginNanos = wantedDetectionNanos - HeartbeatTrace.INTERVAL;
         this.wantedDetectionNanos = wantedDetectionNanos;
         this.wantedMistakesPerHour = wantedMistakesPerHour;
         this.wantedAccuracy = wantedAccuracy;
-        this.timeoutAtFirstNanos = timeoutAtFirstNanos;
+        this.initialTimeoutNanos = initialTimeoutNanos;
     }
 
     @Override
@@ -52,7 +52,10 @@
         }
     }
 
-    /** Equations 11 to 13 and algorithm 1: compares what was reached since the start with what is wanted. */
+    /**
+     * Compares the quality reached since the start with the wanted one: equations 11 to 13 and algorithm 1 of the
+     * paper.
+     */
     private void tune(long now) {
         double hours = (now - startedNanos) / 3.6e12;
         boolean fast = (double) detectionNanos / heartbeats < wantedDetectionNanos;
@@ -68,7 +71,7 @@
     @Override
     public long suspectsFromNanos() {
         if (window.size() < WARM_UP) {
-            return window.size() == 0 ? Long.MAX_VALUE : window.last() + timeoutAtFirstNanos;
+            return window.size() == 0 ? Long.MAX_VALUE : window.last() + initialTimeoutNanos;
         }
         return (long) (window.expectedNext() + marginNanos);
     }
--- a/policy/src/test/java/org/carawaysill/policy/membership/MembershipTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/membership/MembershipTest.java
@@ -34,11 +34,12 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
+/** Tests suspicion of silent peers, heartbeats, leaving nodes and reads of the list of VMs. */
 class MembershipTest {
 
     private static final NodeName SELF = new NodeName("tracker-1");
-    private static final NodeName MATE = new NodeName("tracker-2");
-    private static final NodeName CALLED = new NodeName("manifests-1");
+    private static final NodeName OWN_SERVICE_PEER = new NodeName("tracker-2");
+    private static final NodeName CALLED_SERVICE_PEER = new NodeName("manifests-1");
     private static final LoadReport LOAD = new LoadReport(1, 10, 0, 0);
     private static final HeartbeatContent CONTENT = new HeartbeatContent() {
         @Override
@@ -56,11 +57,11 @@
     private Moment now = new Moment(0, 0);
 
     @BeforeEach
-    void watchesANodeOfItsServiceAndACalledOne() {
+    void connectToAnOwnServicePeerAndACalledServicePeer() {
         membership = new Membership(SELF, MembershipSettings.DEFAULT, new SplittableRandom(1));
-        membership.watch(List.of(copy(SELF), copy(MATE)), List.of(copy(CALLED)));
-        handle(new Event.PeerConnected(MATE, 100));
-        handle(new Event.PeerConnected(CALLED, 100));
+        membership.watch(List.of(copy(SELF), copy(OWN_SERVICE_PEER)), List.of(copy(CALLED_SERVICE_PEER)));
+        handle(new Event.PeerConnected(OWN_SERVICE_PEER, 100));
+        handle(new Event.PeerConnected(CALLED_SERVICE_PEER, 100));
     }
 
     private static CopyEntry copy(NodeName node) {
@@ -71,19 +72,23 @@
         return membership.handle(now, event, CONTENT);
     }
 
-    /** Wakes it as often as it asks, with both peers alive or not, and collects what it does. */
-    private List<Effect> pass(Duration duration, boolean peersLive) {
+    /**
+     * Advances the time, wakes the membership when it asks for it, and collects the effects. Live peers send
+     * heartbeats.
+     */
+    private List<Effect> advance(Duration duration, boolean peersLive) {
         List<Effect> effects = new ArrayList<>();
         long end = now.nanos() + duration.toNanos();
-        long nextSign = now.nanos();
-        while (Math.min(membership.nextWakeNanos(), nextSign) <= end) {
-            now = new Moment(Math.max(now.nanos(), Math.min(membership.nextWakeNanos(), nextSign)), 0);
-            if (peersLive && now.nanos() >= nextSign) {
-                effects.addAll(handle(heartbeat(MATE)));
-                effects.addAll(handle(heartbeat(CALLED)));
+        long nextHeartbeat = now.nanos();
+        while (Math.min(membership.nextWakeNanos(), nextHeartbeat) <= end) {
+            now = new Moment(Math.max(now.nanos(), Math.min(membership.nextWakeNanos(), nextHeartbeat)), 0);
+            if (peersLive && now.nanos() >= nextHeartbeat) {
+                effects.addAll(handle(heartbeat(OWN_SERVICE_PEER)));
+                effects.addAll(handle(heartbeat(CALLED_SERVICE_PEER)));
             }
-            nextSign =
-                    now.nanos() >= nextSign ? nextSign + Duration.ofSeconds(1).toNanos() : nextSign;
+            nextHeartbeat = now.nanos() >= nextHeartbeat
+                    ? nextHeartbeat + Duration.ofSeconds(1).toNanos()
+                    : nextHeartbeat;
             effects.addAll(handle(new Event.WakeUp()));
         }
         now = new Moment(end, 0);
@@ -114,46 +119,47 @@
     class Silence {
 
         @Test
-        void livingPeersStayUsable() {
-            pass(Duration.ofSeconds(60), true);
+        void peersThatSendHeartbeatsStayLive() {
+            advance(Duration.ofSeconds(60), true);
 
-            assertEquals(Map.of(MATE, PeerState.LIVE, CALLED, PeerState.LIVE), membership.states(now.nanos()));
+            assertEquals(
+                    Map.of(OWN_SERVICE_PEER, PeerState.LIVE, CALLED_SERVICE_PEER, PeerState.LIVE),
+                    membership.states(now.nanos()));
         }
 
         @Test
-        void aSilentPeerIsSuspectedUntilItIsHeardAgain() {
-            pass(Duration.ofSeconds(5), false);
-            assertEquals(PeerState.SUSPECTED, state(MATE));
-            assertEquals(PeerState.LIVE, state(CALLED));
-            assertFalse(membership.mayGetNewWork(now.nanos(), MATE));
-
-            handle(heartbeat(MATE));
-            assertEquals(PeerState.LIVE, state(MATE));
+        void aSilentPeerIsSuspectedUntilItsNextMessage() {
+            advance(Duration.ofSeconds(5), false);
+            assertEquals(PeerState.SUSPECTED, state(OWN_SERVICE_PEER));
+            assertEquals(PeerState.LIVE, state(CALLED_SERVICE_PEER));
+            assertFalse(membership.mayGetNewWork(now.nanos(), OWN_SERVICE_PEER));
+
+            handle(heartbeat(OWN_SERVICE_PEER));
+            assertEquals(PeerState.LIVE, state(OWN_SERVICE_PEER));
         }
 
         @Test
         void aLostConnectionShowsAtOnce() {
-            handle(new Event.PeerLost(MATE));
+            handle(new Event.PeerLost(OWN_SERVICE_PEER));
 
-            assertEquals(PeerState.UNREACHABLE, state(MATE));
+            assertEquals(PeerState.UNREACHABLE, state(OWN_SERVICE_PEER));
         }
 
-        // Story: this process is paused for a minute. On waking it handles a timer before the messages that wait
-        // unread,
-        // believes all others dead and refuses every request for want of a copy.
+        // Guards against a node that refuses every request for lack of a copy after a pause of its process. After a
+        // pause of one minute it handles a timer before the messages that wait unread, so all peers seem silent.
         @Test
-        void afterItsOwnPauseItSuspectsNobody() {
-            pass(Duration.ofSeconds(10), true);
+        void afterItsOwnPauseItSuspectsNoPeer() {
+            advance(Duration.ofSeconds(10), true);
             now = now.plus(Duration.ofSeconds(60));
 
             handle(new Event.WakeUp());
 
-            assertEquals(PeerState.LIVE, state(MATE));
+            assertEquals(PeerState.LIVE, state(OWN_SERVICE_PEER));
         }
 
         @Test
         void onlyChangesAreLogged() {
-            List<Effect> effects = pass(Duration.ofSeconds(20), false);
+            List<Effect> effects = advance(Duration.ofSeconds(20), false);
 
             assertEquals(
                     2,
@@ -166,21 +172,21 @@
 
         @Test
         void goEachSecondWithinTheServiceAndEachThreeSecondsToOthers() {
-            List<Effect> effects = pass(Duration.ofSeconds(30), true);
+            List<Effect> effects = advance(Duration.ofSeconds(30), true);
 
-            assertEquals(30, sent(effects, MATE, Heartbeat.class), 1);
-            assertEquals(10, sent(effects, CALLED, Heartbeat.class), 1);
+            assertEquals(30, sent(effects, OWN_SERVICE_PEER, Heartbeat.class), 1);
+            assertEquals(10, sent(effects, CALLED_SERVICE_PEER, Heartbeat.class), 1);
         }
 
         @Test
-        void areSparedWhileOtherMessagesAreSentButNotForLong() {
+        void areOmittedWhileOtherMessagesAreSentButNotForLong() {
             List<Effect> effects = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                membership.sent(now.nanos(), MATE);
-                effects.addAll(pass(Duration.ofMillis(500), true));
+                membership.sent(now.nanos(), OWN_SERVICE_PEER);
+                effects.addAll(advance(Duration.ofMillis(500), true));
             }
 
-            assertEquals(15, sent(effects, MATE, Heartbeat.class), 2);
+            assertEquals(15, sent(effects, OWN_SERVICE_PEER, Heartbeat.class), 2);
         }
 
         @Test
@@ -191,7 +197,7 @@
             membership.watch(many, List.of());
             many.forEach(copy -> handle(new Event.PeerConnected(copy.node(), 100)));
 
-            List<Effect> effects = pass(Duration.ofSeconds(60), false);
+            List<Effect> effects = advance(Duration.ofSeconds(60), false);
 
             long perSecond =
                     effects.stream().filter(Effect.SendToPeer.class::isInstance).count() / 60;
@@ -202,85 +208,88 @@
     @Nested
     class Leaving {
 
-        // Story: a copy is stopped as planned. Its notice reaches its peers; the VM list shows it as live for a minute
-        // yet.
-        // Work sent to it in that minute would be refused, or cut off when it goes.
+        // Guards against sending work to a copy in a planned stop, which would refuse it or cut it off when it ends.
+        // Its drain notice arrives, but the list of VMs still shows it as live for another minute.
         @Test
-        void aNoticeEndsNewWorkThoughTheListLags() {
-            handle(new Event.PeerReceived(MATE, new DrainNotice()));
-            handle(list(MATE, VmState.LIVE));
-            handle(heartbeat(MATE));
+        void aNoticeEndsNewWorkBeforeTheListShowsIt() {
+            handle(new Event.PeerReceived(OWN_SERVICE_PEER, new DrainNotice()));
+            handle(list(OWN_SERVICE_PEER, VmState.LIVE));
+            handle(heartbeat(OWN_SERVICE_PEER));
 
-            assertEquals(PeerState.LEAVING, state(MATE));
-            assertFalse(membership.mayGetNewWork(now.nanos(), MATE));
+            assertEquals(PeerState.LEAVING, state(OWN_SERVICE_PEER));
+            assertFalse(membership.mayGetNewWork(now.nanos(), OWN_SERVICE_PEER));
         }
 
-        // Story: the notice is lost with a connection that broke as it was sent; the node still refuses work as
+        // Guards against a lost drain notice: the connection broke as the notice was sent, and the node refuses work as
         // draining.
         @Test
         void aRefusalAsDrainingEndsNewWork() {
             Outcome refused =
                     new Outcome.NotRun(RefusalReason.DRAINING, Duration.ofSeconds(1), Step.ADMISSION, Optional.empty());
             handle(new Event.PeerReceived(
-                    MATE, new PeerMessage.PeerAnswer(new AttemptIdentifier(1, 1), refused, 0, LOAD, List.of())));
+                    OWN_SERVICE_PEER,
+                    new PeerMessage.PeerAnswer(new AttemptIdentifier(1, 1), refused, 0, LOAD, List.of())));
 
-            assertEquals(PeerState.LEAVING, state(MATE));
+            assertEquals(PeerState.LEAVING, state(OWN_SERVICE_PEER));
         }
 
-        // Story: a node passes on that a third one refused as draining; it must not be taken for the one that leaves.
+        // Guards against taking the wrong node for leaving: a node relays that a third node refused a request as
+        // draining.
         @Test
         void aRefusalOfAThirdNodeDoesNot() {
             Outcome refused = new Outcome.NotRun(
-                    RefusalReason.DRAINING, Duration.ofSeconds(1), Step.PEER_WAIT, Optional.of(CALLED));
+                    RefusalReason.DRAINING, Duration.ofSeconds(1), Step.PEER_WAIT, Optional.of(CALLED_SERVICE_PEER));
             handle(new Event.PeerReceived(
-                    MATE, new PeerMessage.PeerAnswer(new AttemptIdentifier(1, 1), refused, 0, LOAD, List.of())));
+                    OWN_SERVICE_PEER,
+                    new PeerMessage.PeerAnswer(new AttemptIdentifier(1, 1), refused, 0, LOAD, List.of())));
 
-            assertEquals(PeerState.LIVE, state(MATE));
+            assertEquals(PeerState.LIVE, state(OWN_SERVICE_PEER));
         }
 
         @Test
         void theListEndsNewWorkToo() {
-            handle(list(CALLED, VmState.LEAVING));
+            handle(list(CALLED_SERVICE_PEER, VmState.LEAVING));
 
-            assertEquals(PeerState.LEAVING, state(CALLED));
+            assertEquals(PeerState.LEAVING, state(CALLED_SERVICE_PEER));
         }
 
-        // Story: a node leaves and a new process starts under its name. The connection of the old one may come back
-        // once
-        // more, and the list may show the old VM as leaving for a while; only the new process may get work.
+        // Guards against sending work to a leaving process instead of only to its successor of the same name. The old
+        // process may connect once more, and the list may show the old VM as leaving for a while.
         @Test
-        void aNewProcessUnderTheNameStartsClean() {
-            handle(list(MATE, VmState.LEAVING));
-            handle(new Event.PeerLost(MATE));
-            handle(new Event.PeerConnected(MATE, 100));
-            assertEquals(PeerState.LEAVING, state(MATE));
-
-            handle(new Event.PeerLost(MATE));
-            handle(new Event.PeerConnected(MATE, 200));
-            handle(list(MATE, VmState.LEAVING));
-            assertEquals(PeerState.LIVE, state(MATE));
+        void aNewProcessUnderTheSameNameIsNotLeaving() {
+            handle(list(OWN_SERVICE_PEER, VmState.LEAVING));
+            handle(new Event.PeerLost(OWN_SERVICE_PEER));
+            handle(new Event.PeerConnected(OWN_SERVICE_PEER, 100));
+            assertEquals(PeerState.LEAVING, state(OWN_SERVICE_PEER));
+
+            handle(new Event.PeerLost(OWN_SERVICE_PEER));
+            handle(new Event.PeerConnected(OWN_SERVICE_PEER, 200));
+            handle(list(OWN_SERVICE_PEER, VmState.LEAVING));
+            assertEquals(PeerState.LIVE, state(OWN_SERVICE_PEER));
         }
 
         @Test
-        void whoLeavesTellsAllAtOnceAndAgainUntilItGoes() {
+        void aLeavingNodeNotifiesAllPeersAtOnceAndRepeatedly() {
             List<Effect> first = handle(new Event.DrainOrdered());
-            List<Effect> later = pass(Duration.ofSeconds(10), true);
+            List<Effect> later = advance(Duration.ofSeconds(10), true);
 
-            assertEquals(1, sent(first, MATE, DrainNotice.class));
-            assertEquals(1, sent(first, CALLED, DrainNotice.class));
-            assertTrue(sent(later, MATE, DrainNotice.class) >= 9);
-            assertEquals(1, sent(handle(new Event.PeerConnected(MATE, 300)), MATE, DrainNotice.class));
+            assertEquals(1, sent(first, OWN_SERVICE_PEER, DrainNotice.class));
+            assertEquals(1, sent(first, CALLED_SERVICE_PEER, DrainNotice.class));
+            assertTrue(sent(later, OWN_SERVICE_PEER, DrainNotice.class) >= 9);
+            assertEquals(
+                    1,
+                    sent(handle(new Event.PeerConnected(OWN_SERVICE_PEER, 300)), OWN_SERVICE_PEER, DrainNotice.class));
         }
 
         @Test
-        void theListTellsThisNodeThatItLeavesButNotByWhatItSaidBefore() {
+        void onlyAChangeInTheListMakesThisNodeLeave() {
             handle(list(SELF, VmState.LEAVING));
             assertFalse(membership.isLeaving());
 
             handle(list(SELF, VmState.LIVE));
             List<Effect> effects = handle(list(SELF, VmState.LEAVING));
             assertTrue(membership.isLeaving());
-            assertEquals(1, sent(effects, MATE, DrainNotice.class));
+            assertEquals(1, sent(effects, OWN_SERVICE_PEER, DrainNotice.class));
         }
     }
 
@@ -289,11 +298,16 @@
 
         @Test
         void areOpenedOnceClosedWhenGoneAndReopenedAtANewAddress() {
-            assertEquals(List.of(), membership.watch(List.of(copy(SELF), copy(MATE)), List.of(copy(CALLED))));
+            assertEquals(
+                    List.of(),
+                    membership.watch(List.of(copy(SELF), copy(OWN_SERVICE_PEER)), List.of(copy(CALLED_SERVICE_PEER))));
 
-            CopyEntry moved = new CopyEntry(MATE, new AvailabilityZone("molo-nord"), "127.0.0.2", 1, 10, 100);
+            CopyEntry moved =
+                    new CopyEntry(OWN_SERVICE_PEER, new AvailabilityZone("molo-nord"), "127.0.0.2", 1, 10, 100);
             assertEquals(
-                    List.of(new Effect.DisconnectPeer(CALLED), new Effect.ConnectPeer(MATE, "127.0.0.2", 1)),
+                    List.of(
+                            new Effect.DisconnectPeer(CALLED_SERVICE_PEER),
+                            new Effect.ConnectPeer(OWN_SERVICE_PEER, "127.0.0.2", 1)),
                     membership.watch(List.of(copy(SELF), moved), List.of()));
         }
     }
@@ -304,9 +318,9 @@
                 .boxed()
                 .collect(Collectors.toMap(i -> new NodeName("node-" + i), _ -> VmState.LIVE)));
         handle(new Event.VmListRead(large));
-        pass(Duration.ofSeconds(10), true);
+        advance(Duration.ofSeconds(10), true);
 
-        long reads = pass(Duration.ofMinutes(20), true).stream()
+        long reads = advance(Duration.ofMinutes(20), true).stream()
                 .filter(Effect.ReadVmList.class::isInstance)
                 .count();
 
