--- a/policy/src/main/java/org/carawaysill/policy/event/Event.java
+++ b/policy/src/main/java/org/carawaysill/policy/event/Event.java
@@ -13,14 +13,14 @@
 import org.carawaysill.model.vm.VmList;
 import org.carawaysill.policy.message.PeerMessage;
 
-/** What can happen to a node. Immutable and thread safe. */
+/** An input of the policy: something that happened to the node. Immutable and thread safe. */
 public sealed interface Event {
 
     /**
-     * A caller's whole request arrived at the ingress of this node's service.
+     * A caller's complete request arrived at the ingress of this node's service.
      *
      * @param exchange the HTTP exchange to answer
-     * @param caller who asks
+     * @param caller the caller
      * @param key the caller's idempotency key, if it sent one; the same for each of its retries
      * @param content the request
      */
@@ -31,8 +31,8 @@
      * The local copy calls a deeper service.
      *
      * @param exchange the HTTP exchange to answer
-     * @param target the service called
-     * @param parent the attempt during which the copy calls, if the copy passed it on
+     * @param target the called service
+     * @param parent the attempt that the copy makes the call for, if the copy passed its identifier on
      * @param content the request
      */
     record CopyCall(
@@ -40,22 +40,22 @@
             implements Event {}
 
     /**
-     * The caller or the local copy closed an exchange before its answer.
+     * The caller or the local copy closed an exchange before it was answered.
      *
      * @param exchange the exchange
      */
     record ExchangeClosed(ExchangeIdentifier exchange) implements Event {}
 
     /**
-     * The local copy's answer, or the failure to get one.
+     * The local copy answered, or the attempt to get its answer failed.
      *
      * @param attempt the attempt
-     * @param outcome answered; not run, when nothing of the request was written; else unknown
+     * @param outcome answered; not run if nothing of the request was written; otherwise unknown
      */
     record CopyAnswered(AttemptIdentifier attempt, Outcome outcome) implements Event {}
 
     /**
-     * A message of another node arrived whole.
+     * A complete message from another node arrived.
      *
      * @param from the other node
      * @param message the message
@@ -63,7 +63,7 @@
     record PeerReceived(NodeName from, PeerMessage message) implements Event {}
 
     /**
-     * A connection to another node was opened, and both greeted.
+     * A connection to another node was opened, and both nodes sent their hello messages.
      *
      * @param peer the other node
      * @param incarnation the start time of its process in milliseconds since 1970
@@ -71,14 +71,14 @@
     record PeerConnected(NodeName peer, long incarnation) implements Event {}
 
     /**
-     * The connection to another node was lost; whatever had been written to it may have arrived.
+     * The connection to another node was lost. Messages already written to it may have arrived.
      *
      * @param peer the other node
      */
     record PeerLost(NodeName peer) implements Event {}
 
     /**
-     * A message could not be sent, and nothing of it was written.
+     * A message could not be sent; no part of it was written.
      *
      * @param peer the other node
      * @param message the message
@@ -86,35 +86,35 @@
     record PeerUnsent(NodeName peer, PeerMessage message) implements Event {}
 
     /**
-     * The platform's configuration service gave a document that passed the checks.
+     * The platform's configuration service returned a document that passed validation.
      *
      * @param configuration the document
-     * @param text the document's text, as it is relayed to other nodes
+     * @param text the text of the document, which is relayed to other nodes
      */
     record ConfigurationRead(ServiceConfiguration configuration, String text) implements Event {}
 
     /**
-     * The platform's configuration service has nothing newer.
+     * The platform's configuration service has no newer version of a document.
      *
      * @param service the service
      */
     record ConfigurationUnchanged(ServiceName service) implements Event {}
 
     /**
-     * The platform's configuration service gave a document that failed the checks.
+     * The platform's configuration service returned a document that failed validation.
      *
      * @param service the service
      * @param version the platform's version number of the document
-     * @param message its faults, in one line
+     * @param message the validation errors, in one line
      */
     record ConfigurationRefused(ServiceName service, long version, String message) implements Event {}
 
     /**
-     * A read at the platform failed.
+     * Reading from the platform failed.
      *
      * @param service the service
-     * @param step where it failed
-     * @param message what failed, in one line
+     * @param step the step that failed
+     * @param message the failure, in one line
      */
     record ConfigurationReadFailed(ServiceName service, Step step, String message) implements Event {}
 
@@ -125,9 +125,9 @@
      */
     record VmListRead(VmList list) implements Event {}
 
-    /** The operator, or the signal to terminate, orders a planned stop. */
+    /** The operator or a termination signal requested a planned stop. */
     record DrainOrdered() implements Event {}
 
-    /** Time passed; sent when the policy's next wake-up is due. */
+    /** The policy's next wake-up is due. */
     record WakeUp() implements Event {}
 }
--- a/policy/src/main/java/org/carawaysill/policy/event/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/event/package-info.java
@@ -1,4 +1,4 @@
-/** What can happen to a node; the only input of the policy. */
+/** Events, the only input of the policy. */
 @NullMarked
 package org.carawaysill.policy.event;
 
