--- a/policy/src/main/java/org/carawaysill/policy/effect/Effect.java
+++ b/policy/src/main/java/org/carawaysill/policy/effect/Effect.java
@@ -11,13 +11,13 @@
 import org.carawaysill.model.request.Step;
 import org.carawaysill.policy.message.PeerMessage;
 
-/** What the policy asks its node to do. Immutable and thread safe. */
+/** An output of the policy: an action that the node performs. Immutable and thread safe. */
 public sealed interface Effect {
 
     /**
      * Write a request to the local copy, unless its deadline has passed by the time of writing.
      *
-     * @param attempt the attempt, which the copy passes on with its own calls
+     * @param attempt the attempt, whose identifier the copy passes on with its own calls
      * @param content the request
      * @param deadlineNanos the deadline on the monotonic clock
      */
@@ -31,10 +31,10 @@
     record CancelAtCopy(AttemptIdentifier attempt) implements Effect {}
 
     /**
-     * Tell a caller or the local copy what its request came to.
+     * Send the final outcome of a request to a caller or to the local copy.
      *
      * @param exchange the HTTP exchange
-     * @param outcome the final answer
+     * @param outcome the final outcome
      */
     record AnswerExchange(ExchangeIdentifier exchange, Outcome outcome) implements Effect {}
 
@@ -50,8 +50,8 @@
      * Keep a connection open to another node.
      *
      * @param peer the other node
-     * @param host its IP number
-     * @param port its TCP port for nodes
+     * @param host its IP address
+     * @param port the TCP port on which it accepts connections of nodes
      */
     record ConnectPeer(NodeName peer, String host, int port) implements Effect {}
 
@@ -63,11 +63,12 @@
     record DisconnectPeer(NodeName peer) implements Effect {}
 
     /**
-     * Read a service's document at the platform.
+     * Read a service's document from the platform.
      *
      * @param service the service
-     * @param knownVersion the version already known, 0 for none
-     * @param patience how long the platform may hold the read open for a newer version; zero for a plain read
+     * @param knownVersion the version that the node already has, 0 for none
+     * @param patience how long the platform may hold the read open until a newer version exists (a long poll); zero for
+     *     an immediate answer
      */
     record ReadConfiguration(ServiceName service, long knownVersion, Duration patience) implements Effect {}
 
@@ -75,28 +76,28 @@
     record ReadVmList() implements Effect {}
 
     /**
-     * Count an occurrence.
+     * Increment a counter.
      *
-     * @param counted what occurred
+     * @param counted the occurrence that is counted
      */
     record Count(Counted counted) implements Effect {}
 
     /**
      * Log a change of state.
      *
-     * @param step where it changed
-     * @param peer the node that it concerns
-     * @param message what changed, in one line
+     * @param step the step in which it changed
+     * @param peer the node whose state changed
+     * @param message the change, in one line
      */
     record LogChange(Step step, NodeName peer, String message) implements Effect {}
 
     /**
-     * Show the node's present state to operators and metrics.
+     * Publish the node's current state for operators and metrics.
      *
      * @param status the state
      */
     record PublishStatus(NodeStatus status) implements Effect {}
 
-    /** Every request in flight is finished: the process may end. */
+    /** Stop the process, since no request is in flight any more. */
     record StopProcess() implements Effect {}
 }
--- a/policy/src/main/java/org/carawaysill/policy/effect/PeerState.java
+++ b/policy/src/main/java/org/carawaysill/policy/effect/PeerState.java
@@ -1,13 +1,13 @@
 package org.carawaysill.policy.effect;
 
-/** What a node believes of another. Immutable and thread safe. */
+/** The state of another node as this node knows it. Immutable and thread safe. */
 public enum PeerState {
-    /** Connected and heard from. */
+    /** Connected, and its messages arrive in time. */
     LIVE,
-    /** Not heard from for longer than expected. */
+    /** Connected, but silent for longer than the timeout. */
     SUSPECTED,
-    /** Announced that it is leaving, or listed as leaving. */
+    /** Announced that it is leaving, or shown as leaving in the list of VMs. */
     LEAVING,
-    /** No connection. */
+    /** Not connected. */
     UNREACHABLE
 }
--- a/policy/src/main/java/org/carawaysill/policy/effect/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/effect/package-info.java
@@ -1,4 +1,4 @@
-/** What the policy asks its node to do; the only output of the policy. */
+/** Effects, the only output of the policy. */
 @NullMarked
 package org.carawaysill.policy.effect;
 
