--- a/policy/src/main/java/org/carawaysill/policy/NodePolicy.java
+++ b/policy/src/main/java/org/carawaysill/policy/NodePolicy.java
@@ -6,23 +6,23 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * All decisions of one node, without input, output, threads, clock or hidden randomness.
+ * Makes all decisions of one node. It does no input or output, and uses no threads, no clock and no hidden randomness.
  *
- * <p>Invariant: the same events at the same moments give the same effects. Not thread safe: one thread owns it.
+ * <p>Invariant: the same events at the same times produce the same effects. Not thread safe: one thread owns it.
  */
 public interface NodePolicy {
 
     /**
-     * Decides about an event.
+     * Handles an event.
      *
-     * @param now the moment, never earlier than the last one
-     * @param event what happened
-     * @return what to do, in this order
+     * @param now the current time, never earlier than in the previous call
+     * @param event the event
+     * @return the effects to perform, in this order
      */
     List<Effect> decide(Moment now, Event event);
 
     /**
-     * Tells when the policy must be woken if nothing happens before.
+     * Returns when the policy needs a {@link Event.WakeUp} if no other event comes before.
      *
      * @return a time on the monotonic clock in nanoseconds, {@link Long#MAX_VALUE} for never
      */
--- a/policy/src/main/java/org/carawaysill/policy/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/package-info.java
@@ -1,4 +1,4 @@
-/** The decisions of a node. */
+/** The decision logic of a node, separated from input, output and time. */
 @NullMarked
 package org.carawaysill.policy;
 
--- a/policy/src/main/java/org/carawaysill/policy/retry/Backoff.java
+++ b/policy/src/main/java/org/carawaysill/policy/retry/Backoff.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 import java.util.random.RandomGenerator;
 
-/** How long to wait before a retry. Not thread safe: one thread owns it. */
+/** Chooses the delay before a retry. Not thread safe: one thread owns it. */
 public final class Backoff {
 
     private static final long BASE_NANOS = 10_000_000L;
@@ -13,24 +13,24 @@
     private final RandomGenerator random;
 
     /**
-     * Makes a backoff with exponential growth and full jitter.
+     * Creates a backoff with exponential growth and full jitter.
      *
-     * @param random where the jitter comes from
+     * @param random the source of jitter
      */
     public Backoff(RandomGenerator random) {
         this.random = random;
     }
 
     /**
-     * Chooses the wait before a retry.
+     * Returns the delay before a retry.
      *
      * @param retry the number of the retry, from 1
      * @param remainingNanos time left until the deadline
-     * @param usualNanos what the hop usually takes
-     * @return nanoseconds to wait, or empty where the retry could not be answered within the deadline
+     * @param typicalNanos how long a call of this hop typically takes
+     * @return the delay in nanoseconds, or empty if the retry is not expected to be answered within the deadline
      */
-    public OptionalLong delay(int retry, long remainingNanos, long usualNanos) {
-        long slackNanos = remainingNanos - usualNanos;
+    public OptionalLong delay(int retry, long remainingNanos, long typicalNanos) {
+        long slackNanos = remainingNanos - typicalNanos;
         if (slackNanos <= 0) {
             return OptionalLong.empty();
         }
--- a/policy/src/main/java/org/carawaysill/policy/retry/CreditShares.java
+++ b/policy/src/main/java/org/carawaysill/policy/retry/CreditShares.java
@@ -1,7 +1,7 @@
 package org.carawaysill.policy.retry;
 
 /**
- * Splits a request's retry credits in advance over the entry nodes that its caller may try.
+ * Divides a request's retry credits in advance between the entry nodes that its caller may try.
  *
  * <p>Invariant: the shares of all ranks add up to at most the credits. Stateless and thread safe.
  */
@@ -10,12 +10,12 @@
     private CreditShares() {}
 
     /**
-     * Tells a node's share.
+     * Returns a node's share.
      *
      * @param credits the credits that the selectors grant the request
      * @param rank the node's rank for the request over the published roster, from 0
      * @param nodes the size of the roster
-     * @return the retries that the node may spend on the request and below
+     * @return the retries that the node may spend on the request, including retries at deeper services
      */
     public static int share(int credits, int rank, int nodes) {
         boolean hasSecond = nodes > 1 && credits > 1;
--- a/policy/src/main/java/org/carawaysill/policy/retry/RequestLedger.java
+++ b/policy/src/main/java/org/carawaysill/policy/retry/RequestLedger.java
@@ -5,23 +5,24 @@
 import org.carawaysill.model.identity.AttemptIdentifier;
 
 /**
- * The retry credits of one request at one node.
+ * Accounts for the retry credits of one request at one node.
  *
- * <p>Invariant: what was spent here, what is left and what deeper attempts took add up to the grant; so the retries of
- * the request in the tree of calls below this node never exceed the grant. An attempt whose answer is lost keeps what it
- * took, since the retries below it can't be counted any more. Not thread safe: one thread owns it.
+ * <p>Invariant: the credits spent, the credits left and the credits granted to attempts in flight add up to the grant,
+ * so the retries of the request in the call tree below this node never exceed the grant. The credits of an attempt
+ * whose answer is lost count as spent, because the retries below it can no longer be counted. Not thread safe: one
+ * thread owns it.
  */
 public final class RequestLedger {
 
     private final int granted;
-    private final Map<AttemptIdentifier, Integer> lent = new HashMap<>();
+    private final Map<AttemptIdentifier, Integer> creditsByAttempt = new HashMap<>();
     private int left;
     private int spent;
 
     /**
-     * Opens a ledger.
+     * Creates a ledger in which all credits are left.
      *
-     * @param granted the retries that may be spent here and below
+     * @param granted the retries that may be spent at this node and at deeper services
      * @throws IllegalArgumentException if the grant is negative
      */
     public RequestLedger(int granted) {
@@ -33,27 +34,27 @@
     }
 
     /**
-     * Takes credits out for an attempt that is sent deeper.
+     * Grants credits to an attempt that is sent to a deeper service.
      *
      * @param attempt the attempt
-     * @param share the most credits that it should get
-     * @return the credits that go with it
+     * @param share the maximum number of credits to grant
+     * @return the credits granted, fewer than the share if fewer are left
      */
     public int grantForAttempt(AttemptIdentifier attempt, int share) {
-        if (lent.containsKey(attempt)) {
-            throw new IllegalStateException("attempt " + attempt + " was granted credits before");
+        if (creditsByAttempt.containsKey(attempt)) {
+            throw new IllegalStateException("attempt " + attempt + " has already been granted credits");
         }
         int taken = Math.max(0, Math.min(share, left));
-        lent.put(attempt, taken);
+        creditsByAttempt.put(attempt, taken);
         left -= taken;
-        check();
+        checkInvariant();
         return taken;
     }
 
     /**
-     * Spends one credit on a retry.
+     * Spends one credit on a retry, if one is left.
      *
-     * @return whether there was one left; if not, the retry must not be made
+     * @return true if a credit was spent; if false, the retry must not be made
      */
     public boolean spendRetry() {
         if (left == 0) {
@@ -61,59 +62,60 @@
         }
         left--;
         spent++;
-        check();
+        checkInvariant();
         return true;
     }
 
     /**
-     * Takes back what an answered attempt did not spend.
+     * Takes back the credits that an answered attempt did not spend.
      *
-     * @param attempt the attempt; one that is not known here is ignored
-     * @param unspent what the answer says; more than the attempt took is not believed
+     * @param attempt the attempt; an unknown one is ignored
+     * @param unspent the unspent credits that the answer reports, limited to what the attempt was granted
      */
     public void returned(AttemptIdentifier attempt, int unspent) {
-        Integer taken = lent.remove(attempt);
+        Integer taken = creditsByAttempt.remove(attempt);
         if (taken == null) {
             return;
         }
-        int back = Math.max(0, Math.min(unspent, taken));
-        left += back;
-        spent += taken - back;
-        check();
+        int credited = Math.max(0, Math.min(unspent, taken));
+        left += credited;
+        spent += taken - credited;
+        checkInvariant();
     }
 
     /**
-     * Closes an attempt whose answer will not come: what it took counts as spent.
+     * Closes an attempt that will not be answered. The credits granted to it count as spent.
      *
-     * @param attempt the attempt; one that is not known here is ignored
+     * @param attempt the attempt; an unknown one is ignored
      */
     public void lost(AttemptIdentifier attempt) {
         returned(attempt, 0);
     }
 
     /**
-     * Tells what is left.
+     * Returns the credits that are left.
      *
-     * @return the credits that can be spent or lent now
+     * @return the credits that can be spent or granted now
      */
     public int left() {
         return left;
     }
 
     /**
-     * Tells what was spent or can't be accounted for.
+     * Returns the credits that were spent or lost.
      *
-     * @return the credits spent here, below, or lost
+     * @return the credits spent at this node or at deeper services, or lost with an unanswered attempt
      */
     public int spent() {
         return spent;
     }
 
-    private void check() {
-        int out = lent.values().stream().mapToInt(Integer::intValue).sum();
-        if (left < 0 || spent + left + out != granted) {
+    private void checkInvariant() {
+        int outstanding =
+                creditsByAttempt.values().stream().mapToInt(Integer::intValue).sum();
+        if (left < 0 || spent + left + outstanding != granted) {
             throw new IllegalStateException("retry credits don't add up: granted " + granted + ", spent " + spent
-                    + ", left " + left + ", lent " + out);
+                    + ", left " + left + ", granted to attempts " + outstanding);
         }
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/retry/RetryBudget.java
+++ b/policy/src/main/java/org/carawaysill/policy/retry/RetryBudget.java
@@ -3,32 +3,37 @@
 import org.carawaysill.model.identity.CallerName;
 import org.carawaysill.model.identity.ServiceName;
 
-/** The soft budget of retries per caller and service. Not thread safe: one thread owns it. */
+/**
+ * The soft limit on retries per caller and service.
+ *
+ * <p>This implementation ignores its settings, counts nothing and permits every retry. Not thread safe: one thread owns
+ * it.
+ */
 public final class RetryBudget {
 
     /**
-     * Opens budgets without any attempts.
+     * Creates a budget.
      *
-     * @param settings the bounds
+     * @param settings the bounds; ignored
      */
     public RetryBudget(RetryBudgetSettings settings) {}
 
     /**
-     * Counts a first attempt.
+     * Reports a first attempt; has no effect.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param caller who asked
-     * @param service the service called
+     * @param caller the caller
+     * @param service the called service
      */
     public void firstAttempt(long now, CallerName caller, ServiceName service) {}
 
     /**
-     * Takes a retry out of the budget if there is room.
+     * Tells whether a retry may be made.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param caller who asked
-     * @param service the service called
-     * @return whether the retry may be made; it is then counted
+     * @param caller the caller
+     * @param service the called service
+     * @return always true
      */
     public boolean mayRetry(long now, CallerName caller, ServiceName service) {
         return true;
--- a/policy/src/main/java/org/carawaysill/policy/retry/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/retry/package-info.java
@@ -1,4 +1,6 @@
-/** Retries: the hard bound of each request over the whole chain, and the soft budget of each caller. */
+/**
+ * Retries: the hard limit for each request over the whole call tree, the soft limit for each caller, and the backoff.
+ */
 @NullMarked
 package org.carawaysill.policy.retry;
 
