--- a/control/src/main/java/org/carawaysill/control/ControlMain.java
+++ b/control/src/main/java/org/carawaysill/control/ControlMain.java
@@ -1,10 +1,10 @@
 package org.carawaysill.control;
 
 /**
- * Runs the operator's program: {@code carawaysill-control check|explain|status|drain}.
+ * Starts the operator's command-line program, {@code carawaysill-control check|explain|status|drain}.
  *
- * <p>Exit code: 0 if all is well, 1 if what was looked at is not as it should be, 2 if the command line, a file or an
- * address is wrong. Thread safe.
+ * <p>Exit code: 0 on success; 1 if the command ran but its check failed, for example because a node is behind; 2 if the
+ * command line, a file or an address is invalid. Thread safe.
  */
 public final class ControlMain {
 
--- a/control/src/main/java/org/carawaysill/control/ControlProgram.java
+++ b/control/src/main/java/org/carawaysill/control/ControlProgram.java
@@ -17,9 +17,9 @@
 import org.kohsuke.args4j.ParserProperties;
 
 /**
- * Reads a command line and runs the command.
+ * Parses a command line and runs the command.
  *
- * <p>Results go to the output, complaints to the error stream, one line each. Not thread safe.
+ * <p>Results go to the output. Errors go to the error stream, one line each. Not thread safe.
  */
 final class ControlProgram {
 
--- a/control/src/main/java/org/carawaysill/control/ExitStatus.java
+++ b/control/src/main/java/org/carawaysill/control/ExitStatus.java
@@ -1,12 +1,12 @@
 package org.carawaysill.control;
 
-/** What the program ends with. Immutable and thread safe. */
+/** The exit status of the program. Immutable and thread safe. */
 public enum ExitStatus {
-    /** All is well. */
+    /** The command succeeded. */
     DONE(0),
-    /** The command ran, and what it looked at is not as it should be. */
-    NOT_SO(1),
-    /** The command line, a file or an address is wrong. */
+    /** The command ran, but what it checked or ordered failed; for example, a node is behind or does not answer. */
+    CHECK_FAILED(1),
+    /** The command line, a file or an address is invalid. */
     WRONG_INPUT(2);
 
     private final int code;
@@ -16,9 +16,9 @@
     }
 
     /**
-     * Gives the code for the shell.
+     * Returns the exit code of the process.
      *
-     * @return the process's exit code
+     * @return the exit code
      */
     public int code() {
         return code;
--- a/control/src/main/java/org/carawaysill/control/document/DocumentCheck.java
+++ b/control/src/main/java/org/carawaysill/control/document/DocumentCheck.java
@@ -13,7 +13,8 @@
 import org.carawaysill.model.settings.NodeSettingsParser;
 
 /**
- * Checks documents as the nodes do, and whether those of several services fit together. Not thread safe.
+ * Validates documents with the same rules as the nodes, and checks that the documents of several services are
+ * consistent with each other. Not thread safe.
  */
 public final class DocumentCheck {
 
@@ -21,37 +22,37 @@
 
     private final PrintStream output;
     private final PrintStream errors;
-    private final DocumentFile files;
+    private final DocumentReader files;
     private final SiteCheck site = new SiteCheck();
 
     /**
-     * Prepares a check.
+     * Creates a check.
      *
-     * @param output receives a line for each faultless document
+     * @param output receives a line for each valid document
      * @param errors receives a line for each fault
      */
     public DocumentCheck(PrintStream output, PrintStream errors) {
         this.output = output;
         this.errors = errors;
-        this.files = new DocumentFile(errors);
+        this.files = new DocumentReader(errors);
     }
 
     /**
      * Checks every document.
      *
-     * @param options the documents
-     * @return {@link ExitStatus#WRONG_INPUT} if any has a fault or can't be read
+     * @param options the documents to check
+     * @return {@link ExitStatus#WRONG_INPUT} if a document has a fault or can't be read
      */
     public ExitStatus run(CheckOptions options) {
-        boolean faultless = true;
+        boolean allValid = true;
         for (Path file : options.files()) {
             Optional<String> summary = files.read(file).flatMap(text -> check(file, text, options.nodeSettings()));
             summary.ifPresent(line -> output.println(file + ": " + line));
-            faultless &= summary.isPresent();
+            allValid &= summary.isPresent();
         }
         List<String> siteFaults = site.faults();
         siteFaults.forEach(errors::println);
-        return faultless && siteFaults.isEmpty() ? ExitStatus.DONE : ExitStatus.WRONG_INPUT;
+        return allValid && siteFaults.isEmpty() ? ExitStatus.DONE : ExitStatus.WRONG_INPUT;
     }
 
     private Optional<String> check(Path file, String text, boolean nodeSettings) {
@@ -60,7 +61,7 @@
 
     private Optional<String> service(Path file, String text) {
         Optional<ServiceConfiguration> service =
-                files.valueOrComplaints(file, ServiceConfigurationParser.parse(text, UNPUBLISHED));
+                files.valueOrReportFaults(file, ServiceConfigurationParser.parse(text, UNPUBLISHED));
         service.ifPresent(configuration -> site.add(file, configuration));
         return service.map(DocumentCheck::summary);
     }
@@ -75,7 +76,7 @@
 
     private Optional<String> settings(Path file, String text) {
         ParseResult<NodeSettings> result = NodeSettingsParser.parse(text);
-        return files.valueOrComplaints(file, result)
+        return files.valueOrReportFaults(file, result)
                 .map(settings -> "ok, node " + settings.node() + " of service " + settings.service());
     }
 }
--- a/control/src/main/java/org/carawaysill/control/document/DocumentFile.java
+++ b/control/src/main/java/org/carawaysill/control/document/DocumentReader.java
@@ -10,40 +10,40 @@
 import org.carawaysill.model.document.ParseResult;
 
 /**
- * Reads files for an operator and complains in one line each. Thread safe as far as the error stream is.
+ * Reads files and reports each error to the operator in one line. Thread safe if the error stream is.
  *
- * @param errors receives the complaints
+ * @param errors receives the error messages
  */
-public record DocumentFile(PrintStream errors) {
+public record DocumentReader(PrintStream errors) {
 
     /**
      * Reads a file.
      *
      * @param file the file
-     * @return its text, or empty after a complaint
+     * @return its text, or empty after an error was reported
      */
     public Optional<String> read(Path file) {
         try {
             return Optional.of(Files.readString(file));
         } catch (NoSuchFileException e) {
-            complain(file, "no such file");
+            reportError(file, "no such file");
         } catch (CharacterCodingException e) {
-            complain(file, "not a text in UTF-8");
+            reportError(file, "not a text in UTF-8");
         } catch (IOException e) {
-            complain(file, "can't be read: " + e.getMessage());
+            reportError(file, "can't be read: " + e.getMessage());
         }
         return Optional.empty();
     }
 
     /**
-     * Gives what a document states, or writes its faults, each as {@code FILE:LINE: KEY: MESSAGE}.
+     * Returns the content of a document, or reports its faults, each as {@code FILE:LINE: KEY: MESSAGE}.
      *
      * @param file the document's file
-     * @param result what reading it came to
-     * @param <T> the type of what it states
-     * @return what it states, or empty after the complaints
+     * @param result the result of parsing it
+     * @param <T> the type of the content
+     * @return the content, or empty after the faults were reported
      */
-    public <T> Optional<T> valueOrComplaints(Path file, ParseResult<T> result) {
+    public <T> Optional<T> valueOrReportFaults(Path file, ParseResult<T> result) {
         return switch (result) {
             case ParseResult.Valid<T> valid -> Optional.of(valid.value());
             case ParseResult.Invalid<T> invalid -> {
@@ -53,7 +53,7 @@
         };
     }
 
-    private void complain(Path file, String message) {
+    private void reportError(Path file, String message) {
         errors.println(file + ": " + message);
     }
 }
--- a/control/src/main/java/org/carawaysill/control/document/RequestReport.java
+++ b/control/src/main/java/org/carawaysill/control/document/RequestReport.java
@@ -19,7 +19,7 @@
 import org.carawaysill.model.request.RequestTerms;
 
 /**
- * Tells an operator what a request would be. Not thread safe.
+ * Explains to an operator how a service would classify a request. Not thread safe.
  */
 public final class RequestReport {
 
@@ -27,30 +27,30 @@
 
     private final PrintStream output;
     private final PrintStream errors;
-    private final DocumentFile files;
+    private final DocumentReader files;
 
     /**
-     * Prepares a report.
+     * Creates a report.
      *
      * @param output receives the report
-     * @param errors receives complaints about the document
+     * @param errors receives error messages about the document
      */
     public RequestReport(PrintStream output, PrintStream errors) {
         this.output = output;
         this.errors = errors;
-        this.files = new DocumentFile(errors);
+        this.files = new DocumentReader(errors);
     }
 
     /**
      * Reports on one request.
      *
      * @param options the document and the request
-     * @return {@link ExitStatus#NOT_SO} if no operation matches
+     * @return {@link ExitStatus#CHECK_FAILED} if no operation matches
      */
     public ExitStatus run(ExplainOptions options) {
         Path file = options.configuration();
         return files.read(file)
-                .flatMap(text -> files.valueOrComplaints(file, ServiceConfigurationParser.parse(text, UNPUBLISHED)))
+                .flatMap(text -> files.valueOrReportFaults(file, ServiceConfigurationParser.parse(text, UNPUBLISHED)))
                 .map(service -> report(service, options))
                 .orElse(ExitStatus.WRONG_INPUT);
     }
@@ -61,7 +61,7 @@
         if (explanation.isEmpty()) {
             errors.println("no operation of service " + service.service() + " matches " + options.method() + " "
                     + options.path() + ": the request would be refused as unknown_operation");
-            return ExitStatus.NOT_SO;
+            return ExitStatus.CHECK_FAILED;
         }
         report(explanation.get());
         return ExitStatus.DONE;
@@ -73,7 +73,7 @@
         output.println("labels:");
         explanation.labels().forEach((key, value) -> output.println("  " + key + " = " + value));
         output.println("selectors, in published order:");
-        explanation.selectors().forEach(selector -> output.println("  " + verdict(selector)));
+        explanation.selectors().forEach(selector -> output.println("  " + matchDescription(selector)));
         output.println("terms:");
         reportTerms(
                 explanation.classification().terms(),
@@ -100,7 +100,7 @@
                 .orElse("the defaults");
     }
 
-    private static String verdict(SelectorExplanation selector) {
+    private static String matchDescription(SelectorExplanation selector) {
         String name = '"' + selector.selector().name() + '"';
         if (selector.matches()) {
             return name + " matches";
--- a/control/src/main/java/org/carawaysill/control/document/SiteCheck.java
+++ b/control/src/main/java/org/carawaysill/control/document/SiteCheck.java
@@ -16,10 +16,10 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Checks that the faultless documents of several services fit together.
+ * Checks that the valid documents of several services are consistent with each other.
  *
- * <p>A node sees only the documents of its own service and of those that it calls, so that nodes can't make this check.
- * Not thread safe: one instance checks one set of documents.
+ * <p>Nodes can't make this check, because a node reads only the documents of its own service and of the services it
+ * calls. Not thread safe: one instance checks one set of documents.
  */
 final class SiteCheck {
 
@@ -28,7 +28,7 @@
     private final Map<Object, Path> seen = new HashMap<>();
     private final List<String> faults = new ArrayList<>();
 
-    /** Adds a document; what stands in an earlier one too is a fault. */
+    /** Adds a document. A service, copy or address that an earlier document also contains is a fault. */
     void add(Path file, ServiceConfiguration service) {
         reportIfSeen(file, "service", service.service());
         for (CopyEntry copy : service.copies()) {
@@ -39,7 +39,7 @@
         files.put(service.service(), file);
     }
 
-    /** Lists the faults, each as {@code FILE: KEY: MESSAGE}. */
+    /** Returns the faults, each as {@code FILE: KEY: MESSAGE}. */
     List<String> faults() {
         List<String> all = new ArrayList<>(faults);
         for (ServiceName service : services.keySet()) {
--- a/control/src/main/java/org/carawaysill/control/document/package-info.java
+++ b/control/src/main/java/org/carawaysill/control/document/package-info.java
@@ -1,4 +1,4 @@
-/** Work on configuration documents: checking and explaining. */
+/** Commands that check configuration documents and explain how they classify requests. */
 @NullMarked
 package org.carawaysill.control.document;
 
--- a/control/src/main/java/org/carawaysill/control/fleet/AdminClient.java
+++ b/control/src/main/java/org/carawaysill/control/fleet/AdminClient.java
@@ -15,9 +15,9 @@
 import org.carawaysill.model.identity.NetworkAddress;
 
 /**
- * Asks nodes through their admin ports.
+ * An HTTP client for the admin ports of nodes.
  *
- * <p>Invariant: every question ends within {@value #TIMEOUT_MILLISECONDS} ms. Thread safe.
+ * <p>Invariant: every request ends within {@value #TIMEOUT_MILLISECONDS} ms. Thread safe.
  */
 final class AdminClient implements AutoCloseable {
 
@@ -40,7 +40,7 @@
                         .setShared(false));
     }
 
-    /** Asks nodes for their state, all at once, and waits for the last. */
+    /** Requests the state of all nodes in parallel, and waits for the last answer. */
     List<NodeAnswer> status(List<NetworkAddress> nodes) {
         List<CompletableFuture<NodeAnswer>> asked =
                 nodes.stream().map(this::status).toList();
@@ -55,7 +55,7 @@
                 .toCompletableFuture();
     }
 
-    /** Tells a node to drain; the future fails if the node did not take the order. */
+    /** Orders a node to drain. The future fails if the node did not accept the order. */
     CompletableFuture<Void> drain(NetworkAddress node) {
         return send(HttpMethod.POST, node, "/drain")
                 .<Void>mapEmpty()
@@ -76,7 +76,7 @@
         return response;
     }
 
-    /** Writes a failure in one line. */
+    /** Returns the message of a failure, in one line. */
     static String reason(Throwable failure) {
         String message = failure.getMessage() == null ? failure.getClass().getSimpleName() : failure.getMessage();
         return message.lines().findFirst().orElse("");
--- a/control/src/main/java/org/carawaysill/control/fleet/FleetDrain.java
+++ b/control/src/main/java/org/carawaysill/control/fleet/FleetDrain.java
@@ -7,7 +7,7 @@
 import org.carawaysill.model.identity.NetworkAddress;
 
 /**
- * Tells nodes to drain. Not thread safe.
+ * Orders nodes to drain. Not thread safe.
  */
 public final class FleetDrain {
 
@@ -15,10 +15,10 @@
     private final PrintStream errors;
 
     /**
-     * Prepares to order.
+     * Creates the command.
      *
-     * @param output receives a line for each node that took the order
-     * @param errors receives a line for each that did not
+     * @param output receives a line for each node that accepted the order
+     * @param errors receives a line for each node that did not
      */
     public FleetDrain(PrintStream output, PrintStream errors) {
         this.output = output;
@@ -29,16 +29,16 @@
      * Orders each node to drain, one after the other.
      *
      * @param options the nodes
-     * @return {@link ExitStatus#NOT_SO} if one did not take the order
+     * @return {@link ExitStatus#CHECK_FAILED} if a node did not accept the order
      */
     public ExitStatus run(DrainOptions options) {
-        boolean allTaken = true;
+        boolean allAccepted = true;
         try (AdminClient client = new AdminClient()) {
             for (NetworkAddress node : options.admin()) {
-                allTaken &= drain(client, node);
+                allAccepted &= drain(client, node);
             }
         }
-        return allTaken ? ExitStatus.DONE : ExitStatus.NOT_SO;
+        return allAccepted ? ExitStatus.DONE : ExitStatus.CHECK_FAILED;
     }
 
     private boolean drain(AdminClient client, NetworkAddress node) {
--- a/control/src/main/java/org/carawaysill/control/fleet/FleetReport.java
+++ b/control/src/main/java/org/carawaysill/control/fleet/FleetReport.java
@@ -7,11 +7,11 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * What the nodes of a fleet answered, and what follows from it.
+ * Evaluates the answers of the nodes of a fleet and formats them for the operator.
  *
  * <p>Immutable and thread safe.
  *
- * @param answers an answer for each node that was asked
+ * @param answers the result for each node that was asked
  */
 record FleetReport(List<NodeAnswer> answers) {
 
@@ -21,8 +21,8 @@
         answers = List.copyOf(answers);
     }
 
-    /** Tells whether each node answered and none is behind another. */
-    boolean isWhole() {
+    /** Tells whether each node answered and no node is behind another. */
+    boolean allUpToDate() {
         FleetVersions versions = versions();
         return allAnswered()
                 && versions.newest().keySet().stream()
@@ -39,7 +39,7 @@
         return versions().users(wanted.service()).size();
     }
 
-    /** Writes the report: a line for each node, then a line for each service. */
+    /** Returns the report: a line for each node, then a line for each service. */
     List<String> lines() {
         List<String> lines = new ArrayList<>();
         lines.add(LINE.formatted("NODE", "ZONE", "STATE", "VERSIONS IN FORCE"));
--- a/control/src/main/java/org/carawaysill/control/fleet/FleetStatus.java
+++ b/control/src/main/java/org/carawaysill/control/fleet/FleetStatus.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 import java.util.concurrent.locks.LockSupport;
 import org.carawaysill.control.ExitStatus;
-import org.carawaysill.control.document.DocumentFile;
+import org.carawaysill.control.document.DocumentReader;
 import org.carawaysill.control.options.ServiceVersion;
 import org.carawaysill.control.options.StatusOptions;
 import org.carawaysill.model.identity.NetworkAddress;
 import org.carawaysill.model.settings.NodeSettingsParser;
 
 /**
- * Shows an operator which configuration versions are in force where. Not thread safe.
+ * Shows the configuration versions that are in force on each node. Not thread safe.
  */
 public final class FleetStatus {
 
@@ -23,25 +23,25 @@
 
     private final PrintStream output;
     private final PrintStream errors;
-    private final DocumentFile files;
+    private final DocumentReader files;
 
     /**
-     * Prepares to ask.
+     * Creates the command.
      *
      * @param output receives the state of the nodes
-     * @param errors receives complaints about the command line and the settings
+     * @param errors receives error messages about the command line and the settings
      */
     public FleetStatus(PrintStream output, PrintStream errors) {
         this.output = output;
         this.errors = errors;
-        this.files = new DocumentFile(errors);
+        this.files = new DocumentReader(errors);
     }
 
     /**
-     * Asks the nodes, once or until a version is in force.
+     * Asks the nodes for their state, once or until a version is in force.
      *
      * @param options the nodes, and what to wait for
-     * @return {@link ExitStatus#NOT_SO} if a node is behind or does not answer
+     * @return {@link ExitStatus#CHECK_FAILED} if a node is behind or does not answer
      */
     public ExitStatus run(StatusOptions options) {
         Optional<List<NetworkAddress>> nodes = addresses(options);
@@ -71,14 +71,14 @@
     }
 
     private Optional<NetworkAddress> admin(Path file, String text) {
-        return files.valueOrComplaints(file, NodeSettingsParser.parse(text))
+        return files.valueOrReportFaults(file, NodeSettingsParser.parse(text))
                 .map(settings -> settings.addresses().admin());
     }
 
     private ExitStatus show(List<NodeAnswer> answers) {
         FleetReport report = new FleetReport(answers);
         report.lines().forEach(output::println);
-        return report.isWhole() ? ExitStatus.DONE : ExitStatus.NOT_SO;
+        return report.allUpToDate() ? ExitStatus.DONE : ExitStatus.CHECK_FAILED;
     }
 
     private ExitStatus await(AdminClient client, List<NetworkAddress> nodes, ServiceVersion wanted, Duration patience) {
@@ -94,7 +94,7 @@
             if (waited.compareTo(patience) >= 0) {
                 report.lines().forEach(output::println);
                 output.println(wanted + " is not in force everywhere after " + waited.toMillis() + " ms");
-                return ExitStatus.NOT_SO;
+                return ExitStatus.CHECK_FAILED;
             }
             LockSupport.parkNanos(POLL_INTERVAL.toNanos());
         }
--- a/control/src/main/java/org/carawaysill/control/fleet/FleetVersions.java
+++ b/control/src/main/java/org/carawaysill/control/fleet/FleetVersions.java
@@ -12,7 +12,7 @@
  *
  * <p>Immutable and thread safe.
  *
- * @param reports what the nodes say
+ * @param reports the reports of the nodes
  * @param newest the newest version that any of them has in force, by service
  */
 record FleetVersions(List<NodeReport> reports, SortedMap<ServiceName, Long> newest) {
@@ -31,18 +31,18 @@
         return new FleetVersions(reports, newest);
     }
 
-    /** Lists the nodes that use a service. */
+    /** Returns the nodes that use a service. */
     List<NodeReport> users(ServiceName service) {
         return reports.stream().filter(report -> report.uses(service)).toList();
     }
 
-    /** Lists the nodes that use a service and have an older version of it in force than another node, or none. */
+    /** Returns the nodes that use a service and have an older version of it in force than another node, or none. */
     List<NodeReport> behind(ServiceName service) {
         long wanted = Math.max(newest.getOrDefault(service, 0L), 1);
         return behind(new ServiceVersion(service, wanted));
     }
 
-    /** Lists the nodes that use a service and have an older version of it in force than a given one, or none. */
+    /** Returns the nodes that use a service and have an older version of it in force than a given one, or none. */
     List<NodeReport> behind(ServiceVersion wanted) {
         return users(wanted.service()).stream()
                 .filter(report -> report.version(wanted.service()) < wanted.version())
--- a/control/src/main/java/org/carawaysill/control/fleet/NodeAnswer.java
+++ b/control/src/main/java/org/carawaysill/control/fleet/NodeAnswer.java
@@ -2,25 +2,25 @@
 
 import org.carawaysill.model.identity.NetworkAddress;
 
-/** What came of asking a node. Immutable and thread safe. */
+/** The result of asking a node for its state. Immutable and thread safe. */
 sealed interface NodeAnswer {
 
-    /** Gives the address that was asked. */
+    /** Returns the address that was asked. */
     NetworkAddress admin();
 
     /**
      * The node answered.
      *
      * @param admin the address that was asked
-     * @param report what the node says
+     * @param report the report of the node
      */
     record Reported(NetworkAddress admin, NodeReport report) implements NodeAnswer {}
 
     /**
-     * The node did not answer, or not as a node does.
+     * The node did not answer, or its answer was not that of a node.
      *
      * @param admin the address that was asked
-     * @param reason why, in one line
+     * @param reason the reason, in one line
      */
     record Silent(NetworkAddress admin, String reason) implements NodeAnswer {}
 }
--- a/control/src/main/java/org/carawaysill/control/fleet/NodeReport.java
+++ b/control/src/main/java/org/carawaysill/control/fleet/NodeReport.java
@@ -9,12 +9,12 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * What a node says of itself.
+ * The state that a node reports.
  *
  * <p>Immutable and thread safe.
  *
  * @param node its name
- * @param service the service whose copy it stands beside
+ * @param service the service whose copy it runs beside
  * @param zone its availability zone
  * @param draining whether it takes no new work
  * @param versions the configuration version in force by service
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Reads the answer of a node's {@code /status}.
+     * Parses the answer of a node's {@code /status}.
      *
      * @param status the answer
      * @return the report
-     * @throws RuntimeException if the answer is of another shape
+     * @throws RuntimeException if the answer has another structure
      */
     static NodeReport of(JsonObject status) {
         SortedMap<ServiceName, Long> versions = new TreeMap<>();
@@ -49,7 +49,7 @@
                 versions);
     }
 
-    /** Gives the version in force of a service, 0 where there is none. */
+    /** Returns the version of a service that is in force, 0 if there is none. */
     long version(ServiceName of) {
         return versions.getOrDefault(of, 0L);
     }
--- a/control/src/main/java/org/carawaysill/control/fleet/package-info.java
+++ b/control/src/main/java/org/carawaysill/control/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** Work with running nodes through their admin ports. */
+/** Commands for running nodes, through their admin ports. */
 @NullMarked
 package org.carawaysill.control.fleet;
 
--- a/control/src/main/java/org/carawaysill/control/options/AddressesHandler.java
+++ b/control/src/main/java/org/carawaysill/control/options/AddressesHandler.java
@@ -9,14 +9,14 @@
 import org.kohsuke.args4j.spi.Parameters;
 import org.kohsuke.args4j.spi.Setter;
 
-/** Reads an option's addresses, one or more, up to the next option. Confined to its parser. */
+/** Parses the addresses of an option: one or more, up to the next option. Not thread safe: one parser uses it. */
 public final class AddressesHandler extends OptionHandler<NetworkAddress> {
 
     private static final AddressFormat FORMAT = new AddressFormat(AddressFormat.Use.CONNECT);
     private static final String OPTION_PREFIX = "-";
 
     /**
-     * Called by the parser.
+     * Creates a handler; called by the parser.
      *
      * @param parser the parser
      * @param option the option
--- a/control/src/main/java/org/carawaysill/control/options/CheckOptions.java
+++ b/control/src/main/java/org/carawaysill/control/options/CheckOptions.java
@@ -6,10 +6,10 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** The command line of {@code check}. Filled once by its parser, then read only; not thread safe. */
+/** The command line of {@code check}. Not thread safe: the parser fills it once, and then it is only read. */
 public final class CheckOptions implements CommandOptions {
 
-    /** The word on the command line. */
+    /** The name of the sub-command. */
     public static final String COMMAND = "check";
 
     @Argument(metaVar = "FILE", required = true, multiValued = true, usage = "the documents to check")
@@ -37,16 +37,16 @@
     }
 
     /**
-     * Lists the documents.
+     * Returns the files of the documents.
      *
-     * @return their files, at least one
+     * @return at least one file
      */
     public List<Path> files() {
         return List.copyOf(files);
     }
 
     /**
-     * Tells what the documents are.
+     * Tells which kind of document the files hold.
      *
      * @return true for settings of nodes, false for documents of services
      */
--- a/control/src/main/java/org/carawaysill/control/options/CommandOptions.java
+++ b/control/src/main/java/org/carawaysill/control/options/CommandOptions.java
@@ -1,24 +1,24 @@
 package org.carawaysill.control.options;
 
-/** The command line of one sub-command. Filled once by its parser, then read only; not thread safe. */
+/** The command line of one sub-command. Not thread safe: the parser fills it once, and then it is only read. */
 public sealed interface CommandOptions permits CheckOptions, ExplainOptions, StatusOptions, DrainOptions {
 
     /**
-     * Names the sub-command.
+     * Returns the name of the sub-command.
      *
-     * @return the word on the command line
+     * @return the name, as given on the command line
      */
     String command();
 
     /**
-     * Tells what the sub-command is for.
+     * Returns the purpose of the sub-command, for its help text.
      *
      * @return one or two sentences
      */
     String purpose();
 
     /**
-     * Tells whether the operator only wants help.
+     * Tells whether the operator asked for help.
      *
      * @return true if {@code --help} was given
      */
--- a/control/src/main/java/org/carawaysill/control/options/DrainOptions.java
+++ b/control/src/main/java/org/carawaysill/control/options/DrainOptions.java
@@ -5,10 +5,10 @@
 import org.carawaysill.model.identity.NetworkAddress;
 import org.kohsuke.args4j.Option;
 
-/** The command line of {@code drain}. Filled once by its parser, then read only; not thread safe. */
+/** The command line of {@code drain}. Not thread safe: the parser fills it once, and then it is only read. */
 public final class DrainOptions implements CommandOptions {
 
-    /** The word on the command line. */
+    /** The name of the sub-command. */
     public static final String COMMAND = "drain";
 
     @Option(
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Lists the nodes.
+     * Returns the admin addresses of the nodes.
      *
-     * @return their admin addresses, at least one
+     * @return at least one address
      */
     public List<NetworkAddress> admin() {
         return List.copyOf(admin);
--- a/control/src/main/java/org/carawaysill/control/options/DurationHandler.java
+++ b/control/src/main/java/org/carawaysill/control/options/DurationHandler.java
@@ -8,13 +8,13 @@
 import org.kohsuke.args4j.spi.OneArgumentOptionHandler;
 import org.kohsuke.args4j.spi.Setter;
 
-/** Reads an option's duration, 100ms to 1h. Confined to its parser. */
+/** Parses the duration of an option, 100ms to 1h. Not thread safe: one parser uses it. */
 public final class DurationHandler extends OneArgumentOptionHandler<Duration> {
 
     private static final DurationFormat FORMAT = new DurationFormat(Duration.ofMillis(100), Duration.ofHours(1));
 
     /**
-     * Called by the parser.
+     * Creates a handler; called by the parser.
      *
      * @param parser the parser
      * @param option the option
--- a/control/src/main/java/org/carawaysill/control/options/ExplainOptions.java
+++ b/control/src/main/java/org/carawaysill/control/options/ExplainOptions.java
@@ -4,10 +4,10 @@
 import org.carawaysill.model.identity.CallerName;
 import org.kohsuke.args4j.Option;
 
-/** The command line of {@code explain}. Filled once by its parser, then read only; not thread safe. */
+/** The command line of {@code explain}. Not thread safe: the parser fills it once, and then it is only read. */
 public final class ExplainOptions implements CommandOptions {
 
-    /** The word on the command line. */
+    /** The name of the sub-command. */
     public static final String COMMAND = "explain";
 
     private static final String ANONYMOUS = "anonymous";
@@ -44,16 +44,16 @@
     }
 
     /**
-     * Gives the document.
+     * Returns the file of the document.
      *
-     * @return its file
+     * @return the file
      */
     public Path configuration() {
         return configuration;
     }
 
     /**
-     * Gives the method.
+     * Returns the method of the request.
      *
      * @return the HTTP method
      */
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Gives the path.
+     * Returns the path of the request.
      *
      * @return the path, with or without its query
      */
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Gives the caller.
+     * Returns the caller of the request.
      *
      * @return the caller's name
      */
--- a/control/src/main/java/org/carawaysill/control/options/ServiceVersion.java
+++ b/control/src/main/java/org/carawaysill/control/options/ServiceVersion.java
@@ -13,11 +13,11 @@
 public record ServiceVersion(ServiceName service, long version) {
 
     /**
-     * Reads {@code SERVICE=VERSION}.
+     * Parses {@code SERVICE=VERSION}.
      *
      * @param text the text
      * @return the service and its version
-     * @throws IllegalArgumentException if the text is anything else
+     * @throws IllegalArgumentException if the text has another form
      */
     public static ServiceVersion parse(String text) {
         int separator = text.lastIndexOf('=');
--- a/control/src/main/java/org/carawaysill/control/options/ServiceVersionHandler.java
+++ b/control/src/main/java/org/carawaysill/control/options/ServiceVersionHandler.java
@@ -6,11 +6,11 @@
 import org.kohsuke.args4j.spi.OneArgumentOptionHandler;
 import org.kohsuke.args4j.spi.Setter;
 
-/** Reads an option's service and version. Confined to its parser. */
+/** Parses the service and version of an option. Not thread safe: one parser uses it. */
 public final class ServiceVersionHandler extends OneArgumentOptionHandler<ServiceVersion> {
 
     /**
-     * Called by the parser.
+     * Creates a handler; called by the parser.
      *
      * @param parser the parser
      * @param option the option
--- a/control/src/main/java/org/carawaysill/control/options/StatusOptions.java
+++ b/control/src/main/java/org/carawaysill/control/options/StatusOptions.java
@@ -10,10 +10,10 @@
 import org.kohsuke.args4j.Option;
 import org.kohsuke.args4j.spi.PathOptionHandler;
 
-/** The command line of {@code status}. Filled once by its parser, then read only; not thread safe. */
+/** The command line of {@code status}. Not thread safe: the parser fills it once, and then it is only read. */
 public final class StatusOptions implements CommandOptions {
 
-    /** The word on the command line. */
+    /** The name of the sub-command. */
     public static final String COMMAND = "status";
 
     private static final Duration DEFAULT_PATIENCE = Duration.ofSeconds(10);
@@ -62,36 +62,36 @@
     }
 
     /**
-     * Lists the addresses given directly.
+     * Returns the admin addresses given with {@code --admin}.
      *
-     * @return admin addresses
+     * @return the addresses, possibly none
      */
     public List<NetworkAddress> admin() {
         return List.copyOf(admin);
     }
 
     /**
-     * Lists the nodes given by their settings.
+     * Returns the settings files given with {@code --settings}.
      *
-     * @return the settings' files
+     * @return the files, possibly none
      */
     public List<Path> settings() {
         return List.copyOf(settings);
     }
 
     /**
-     * Gives what to wait for.
+     * Returns the version to wait for.
      *
-     * @return a service and a version, if the operator wants to wait
+     * @return the service and version, or empty if the operator gave no {@code --until}
      */
     public Optional<ServiceVersion> until() {
         return Optional.ofNullable(until);
     }
 
     /**
-     * Gives how long to wait.
+     * Returns how long to wait for the version.
      *
-     * @return the longest wait
+     * @return the maximum wait
      */
     public Duration patience() {
         return patience;
--- a/control/src/main/java/org/carawaysill/control/package-info.java
+++ b/control/src/main/java/org/carawaysill/control/package-info.java
@@ -1,4 +1,4 @@
-/** The operator's command line. */
+/** The operator's command-line program. */
 @NullMarked
 package org.carawaysill.control;
 
--- a/control/src/test/java/org/carawaysill/control/CommandLineTest.java
+++ b/control/src/test/java/org/carawaysill/control/CommandLineTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program says what is wrong in one line, and what a request would be in a few. */
+/** Tests that the program reports each error in one line, and explains how a request is classified. */
 class CommandLineTest {
 
     private static final Path SITE = Path.of("..", "sites", "trinacria", "configuration");
@@ -85,7 +85,7 @@
 
         @ParameterizedTest
         @ValueSource(strings = {"trinacria", "tengri"})
-        void findsThatTheSitesFitTogether(String site) throws IOException {
+        void acceptsTheDocumentsOfEachSite(String site) throws IOException {
             List<String> words = new ArrayList<>(List.of("check"));
             try (Stream<Path> files = Files.list(Path.of("..", "sites", site, "configuration"))) {
                 files.sorted().map(Path::toString).forEach(words::add);
@@ -98,7 +98,7 @@
         }
 
         @Test
-        void findsWhatStandsTwiceAndCallsThatLeadBack() {
+        void reportsDuplicateEntriesAndCallCycles() {
             String file = resource("clashing.toml");
             Run run = Run.of("check", TRACKER, file);
 
@@ -129,7 +129,7 @@
         void tellsThatNoOperationMatches() {
             Run run = Run.of("explain", "--configuration", TRACKER, "--method", "PUT", "--path", "/bills/7/status");
 
-            assertEquals(ExitStatus.NOT_SO, run.status());
+            assertEquals(ExitStatus.CHECK_FAILED, run.status());
             assertEquals(1, run.errors().size());
         }
     }
--- a/control/src/test/java/org/carawaysill/control/FakeNodes.java
+++ b/control/src/test/java/org/carawaysill/control/FakeNodes.java
@@ -9,13 +9,13 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Admin ports that answer as nodes do. Thread safe. */
+/** HTTP servers that answer like the admin ports of nodes. Thread safe. */
 final class FakeNodes implements AutoCloseable {
 
     private final Vertx vertx = Vertx.vertx();
     private final List<String> drained = new CopyOnWriteArrayList<>();
 
-    /** Starts a node whose versions the test may change, and gives its address. */
+    /** Starts a node whose versions the test may change, and returns its address. */
     String start(String node, AtomicReference<Map<String, Object>> versions) {
         HttpServer server = vertx.createHttpServer().requestHandler(request -> {
             if (request.path().equals("/drain")) {
@@ -28,8 +28,8 @@
         return start(server);
     }
 
-    /** Starts something that is no node. */
-    String startStranger(String answer) {
+    /** Starts a server that is not a node and gives the same answer to every request; returns its address. */
+    String startOtherServer(String answer) {
         return start(vertx.createHttpServer()
                 .requestHandler(request -> request.response().end(answer)));
     }
--- a/control/src/test/java/org/carawaysill/control/FleetCommandsTest.java
+++ b/control/src/test/java/org/carawaysill/control/FleetCommandsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The operator sees which nodes are behind, waits for a version, and drains nodes. */
+/** Tests that an operator can see which nodes are behind, wait for a version, and drain nodes. */
 class FleetCommandsTest {
 
     private final FakeNodes nodes = new FakeNodes();
@@ -30,20 +30,21 @@
     class Status {
 
         /**
-         * An operator publishes version 7 of the tracker's document. One node of two is cut off and still serves under
-         * version 6. Asked now, the program must name that node and the service, and must not end as if all were well.
+         * Guards against a report of success while a node is behind. An operator has published version 7 of the
+         * tracker's document, and one of two nodes is disconnected and still uses version 6. The program must name the
+         * node and the service, and end with a failure status.
          */
         @Test
         void namesTheNodeThatIsBehind() {
             Run run = Run.of("status", "--admin", firstAdmin, secondAdmin);
 
-            assertEquals(ExitStatus.NOT_SO, run.status());
+            assertEquals(ExitStatus.CHECK_FAILED, run.status());
             assertTrue(run.output().contains("tracker: version 7 in force on 1 of 2 nodes; behind: tracker-2 (6)"));
             assertTrue(run.output().contains("parties: version 3 in force on 2 of 2 nodes"));
         }
 
         @Test
-        void isWellWhenAllHaveTheSameVersions() {
+        void succeedsWhenAllNodesHaveTheSameVersions() {
             second.set(first.get());
 
             assertEquals(
@@ -62,10 +63,10 @@
 
         @ParameterizedTest
         @ValueSource(strings = {"no JSON", "[]", "{}", "{\"node\": 3, \"versions\": {\"tracker\": \"x\"}}"})
-        void showsWhatIsNoNodeAsSilent(String answer) {
-            Run run = Run.of("status", "--admin", firstAdmin, nodes.startStranger(answer));
+        void showsAServerThatIsNotANodeAsSilent(String answer) {
+            Run run = Run.of("status", "--admin", firstAdmin, nodes.startOtherServer(answer));
 
-            assertEquals(ExitStatus.NOT_SO, run.status());
+            assertEquals(ExitStatus.CHECK_FAILED, run.status());
             assertTrue(run.output().contains("silent"), run::output);
         }
     }
@@ -85,11 +86,11 @@
         }
 
         @Test
-        void givesUpWhenPatienceEnds() {
+        void failsWhenPatienceEnds() {
             Run run =
                     Run.of("status", "--until", "tracker=7", "--patience", "100ms", "--admin", firstAdmin, secondAdmin);
 
-            assertEquals(ExitStatus.NOT_SO, run.status());
+            assertEquals(ExitStatus.CHECK_FAILED, run.status());
             assertTrue(run.output().contains("tracker version 7 is not in force everywhere"), run::output);
         }
     }
@@ -101,7 +102,7 @@
         void reachesEachNodeAndNamesThoseItCouldNotReach() {
             Run run = Run.of("drain", "--admin", firstAdmin, "127.0.0.1:1", secondAdmin);
 
-            assertEquals(ExitStatus.NOT_SO, run.status());
+            assertEquals(ExitStatus.CHECK_FAILED, run.status());
             assertEquals(List.of("tracker-1", "tracker-2"), nodes.drained());
             assertTrue(run.errors().getFirst().startsWith("127.0.0.1:1: not draining"));
         }
--- a/control/src/test/java/org/carawaysill/control/Run.java
+++ b/control/src/test/java/org/carawaysill/control/Run.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * What one run of the program wrote and ended with.
+ * The output and the exit status of one run of the program.
  *
- * @param status what it ended with
- * @param output what it wrote to the output
- * @param errors what it wrote to the error stream, line by line
+ * @param status the exit status
+ * @param output the text written to the output
+ * @param errors the lines written to the error stream
  */
 record Run(ExitStatus status, String output, List<String> errors) {
 
