--- a/policy/src/main/java/org/carawaysill/policy/event/Event.java
+++ b/policy/src/main/java/org/carawaysill/policy/event/Event.java
@@ -63,7 +63,7 @@
     record PeerReceived(NodeName from, PeerMessage message) implements Event {}
 
     /**
-     * A connection to another node was opened, and both nodes sent their hello messages.
+     * A connection to another node was opened and its handshake completed.
      *
      * @param peer the other node
      * @param incarnation the start time of its process in milliseconds since 1970
