--- a/policy/src/main/java/org/carawaysill/policy/admission/AdmissionQueue.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/AdmissionQueue.java
@@ -10,27 +10,27 @@
 import org.carawaysill.model.request.Priority;
 
 /**
- * Requests that wait for a slot, in order of importance and in order of the moment at which waiting becomes pointless.
+ * Holds the requests that wait for a slot, ordered by importance and by the latest time at which starting them is useful.
  *
- * <p>Importance is the priority, then the work already invested in the request, seen by its depth. Requests equal in
- * both are ordered by deadline; the caller chooses from which end they are taken. Invariant: both orders and the counts
- * by level hold the same requests, each attempt once. Every change costs the logarithm of the queue's length. Not
- * thread safe.
+ * <p>Requests are ranked by priority, then by depth, which stands for the work already invested in the request. Requests
+ * equal in both are ordered by deadline; the caller chooses from which end they are taken. Invariant: both orders and
+ * the counts by level hold the same requests, each attempt once. Every change takes time logarithmic in the queue's
+ * length. Not thread safe.
  */
 final class AdmissionQueue {
 
     private static final Comparator<AttemptIdentifier> BY_BITS =
             Comparator.comparingLong(AttemptIdentifier::high).thenComparingLong(AttemptIdentifier::low);
 
-    private final TreeMap<Place, Waiting> byImportance = new TreeMap<>();
-    private final TreeSet<Waiting> byLatestStart =
-            new TreeSet<>(Comparator.comparingLong(Waiting::latestStartNanos).thenComparing(Waiting::attempt, BY_BITS));
-    private final Map<AttemptIdentifier, Waiting> byAttempt = new HashMap<>();
+    private final TreeMap<Rank, WaitingRequest> byImportance = new TreeMap<>();
+    private final TreeSet<WaitingRequest> byLatestStart = new TreeSet<>(
+            Comparator.comparingLong(WaitingRequest::latestStartNanos).thenComparing(WaitingRequest::attempt, BY_BITS));
+    private final Map<AttemptIdentifier, WaitingRequest> byAttempt = new HashMap<>();
     private final int[] countByLevel = new int[Priority.MAXIMUM + 1];
 
     void add(Candidate candidate, long latestStartNanos) {
-        Waiting waiting = new Waiting(candidate, latestStartNanos);
-        byImportance.put(Place.of(candidate), waiting);
+        WaitingRequest waiting = new WaitingRequest(candidate, latestStartNanos);
+        byImportance.put(Rank.of(candidate), waiting);
         byLatestStart.add(waiting);
         byAttempt.put(candidate.attempt(), waiting);
         countByLevel[candidate.priority().level()]++;
@@ -47,28 +47,28 @@
      * @return the request
      */
     Candidate removeMostImportant(boolean mostTimeLeft) {
-        Place first = byImportance.firstKey();
-        Place place = mostTimeLeft ? byImportance.floorKey(first.lastOfEquals()) : first;
-        return remove(byImportance.get(place));
+        Rank first = byImportance.firstKey();
+        Rank rank = mostTimeLeft ? byImportance.floorKey(first.lastOfEquals()) : first;
+        return remove(byImportance.get(rank));
     }
 
     /**
-     * Removes the request to give up.
+     * Removes the request to refuse first.
      *
      * @param leastTimeLeft whether the one with the least time left goes first among equally important ones
      * @return the request
      */
     Candidate removeLeastImportant(boolean leastTimeLeft) {
-        Place last = byImportance.lastKey();
-        Place place = leastTimeLeft ? byImportance.ceilingKey(last.firstOfEquals()) : last;
-        return remove(byImportance.get(place));
+        Rank last = byImportance.lastKey();
+        Rank rank = leastTimeLeft ? byImportance.ceilingKey(last.firstOfEquals()) : last;
+        return remove(byImportance.get(rank));
     }
 
     /**
-     * Removes a request for which it is too late.
+     * Removes a request whose latest start has passed.
      *
      * @param now nanoseconds on the monotonic clock
-     * @return the request with the earliest latest start, if that has come
+     * @return the request with the earliest latest start, if that is not after {@code now}
      */
     Optional<Candidate> removeOverdue(long now) {
         return nextLatestStartNanos() > now ? Optional.empty() : Optional.of(remove(byLatestStart.first()));
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Tells the lowest level that waits.
+     * Returns the lowest priority level among the waiting requests.
      *
      * @return the level, above {@link Priority#MAXIMUM} if nothing waits
      */
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Tells when a request must be given up.
+     * Returns when the next waiting request becomes overdue.
      *
      * @return the earliest latest start, {@link Long#MAX_VALUE} if nothing waits
      */
@@ -110,47 +110,47 @@
         return isEmpty() ? Long.MAX_VALUE : byLatestStart.first().latestStartNanos();
     }
 
-    private Candidate remove(Waiting waiting) {
+    private Candidate remove(WaitingRequest waiting) {
         Candidate candidate = waiting.candidate();
-        byImportance.remove(Place.of(candidate));
+        byImportance.remove(Rank.of(candidate));
         byLatestStart.remove(waiting);
         byAttempt.remove(candidate.attempt());
         countByLevel[candidate.priority().level()]--;
         return candidate;
     }
 
-    private record Waiting(Candidate candidate, long latestStartNanos) {
+    private record WaitingRequest(Candidate candidate, long latestStartNanos) {
 
         AttemptIdentifier attempt() {
             return candidate.attempt();
         }
     }
 
-    /** A place in the order of importance, the most important first. */
-    private record Place(Priority priority, int depth, long deadlineNanos, AttemptIdentifier attempt)
-            implements Comparable<Place> {
+    /** Sort key of a waiting request, the most important first. */
+    private record Rank(Priority priority, int depth, long deadlineNanos, AttemptIdentifier attempt)
+            implements Comparable<Rank> {
 
         private static final AttemptIdentifier LOWEST = new AttemptIdentifier(Long.MIN_VALUE, Long.MIN_VALUE);
         private static final AttemptIdentifier HIGHEST = new AttemptIdentifier(Long.MAX_VALUE, Long.MAX_VALUE);
-        private static final Comparator<Place> ORDER = Comparator.comparing(Place::priority, Comparator.reverseOrder())
-                .thenComparing(Place::depth, Comparator.reverseOrder())
-                .thenComparingLong(Place::deadlineNanos)
-                .thenComparing(Place::attempt, BY_BITS);
+        private static final Comparator<Rank> ORDER = Comparator.comparing(Rank::priority, Comparator.reverseOrder())
+                .thenComparing(Rank::depth, Comparator.reverseOrder())
+                .thenComparingLong(Rank::deadlineNanos)
+                .thenComparing(Rank::attempt, BY_BITS);
 
-        static Place of(Candidate candidate) {
-            return new Place(candidate.priority(), candidate.depth(), candidate.deadlineNanos(), candidate.attempt());
+        static Rank of(Candidate candidate) {
+            return new Rank(candidate.priority(), candidate.depth(), candidate.deadlineNanos(), candidate.attempt());
         }
 
-        Place firstOfEquals() {
-            return new Place(priority, depth, Long.MIN_VALUE, LOWEST);
+        Rank firstOfEquals() {
+            return new Rank(priority, depth, Long.MIN_VALUE, LOWEST);
         }
 
-        Place lastOfEquals() {
-            return new Place(priority, depth, Long.MAX_VALUE, HIGHEST);
+        Rank lastOfEquals() {
+            return new Rank(priority, depth, Long.MAX_VALUE, HIGHEST);
         }
 
         @Override
-        public int compareTo(Place other) {
+        public int compareTo(Rank other) {
             return ORDER.compare(this, other);
         }
     }
--- a/policy/src/main/java/org/carawaysill/policy/admission/AdmissionSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/AdmissionSettings.java
@@ -3,18 +3,19 @@
 /**
  * Settings of {@link CopyAdmission}.
  *
- * <p>Under overload the queue is kept near a target, so that no slot is free for want of work. What it must bridge is
- * the random swing of the arrivals, which grows with the square root of the limit.
+ * <p>Under overload the queue is kept near a target length, so that no slot idles for lack of work. The queue has to cover
+ * random fluctuations of the arrivals, which grow with the square root of the limit.
  *
  * <p>Invariant: the factor is positive. Immutable and thread safe.
  *
- * @param queueFactor the queue's target, in square roots of the limit; twice as many may wait
+ * @param queueFactor the target length of the queue, as a multiple of the square root of the limit; the capacity is
+ * twice the target
  * @param cancelForCritical whether unimportant idempotent requests are cancelled at the copy for critical ones that
  *     would be refused
  */
 public record AdmissionSettings(double queueFactor, boolean cancelForCritical) {
 
-    /** What holds unless a node's settings say otherwise. */
+    /** The settings of a node that states none. */
     public static final AdmissionSettings DEFAULTS = new AdmissionSettings(3, true);
 
     private static final int CAPACITY_PER_TARGET = 2;
@@ -26,7 +27,7 @@
     }
 
     /**
-     * Tells how many requests should wait under overload.
+     * Returns how many requests should wait under overload.
      *
      * @param limit the concurrency limit
      * @return the target
@@ -36,7 +37,7 @@
     }
 
     /**
-     * Tells how many requests may wait.
+     * Returns how many requests may wait.
      *
      * @param limit the concurrency limit
      * @return the capacity, at least 1
--- a/policy/src/main/java/org/carawaysill/policy/admission/ChainCuts.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/ChainCuts.java
@@ -13,12 +13,11 @@
 import org.carawaysill.policy.message.PeerMessage.ServiceCut;
 
 /**
- * What the services below this one admit at present, learned from their answers, and which operations reach them.
+ * Tracks the admission cuts of the deeper services, as reported with their answers, and which operations reach them.
  *
- * <p>A request that would be refused at the last hop is refused here instead, before any copy has worked for it.
- * An
- * operation that no longer reaches a service is known to for another minute. Invariant: a cut that is not heard again
- * has no force after a second. Not thread safe: the policy's thread owns it.
+ * <p>A request that would be refused at the last hop is refused here instead, before any copy has worked for it. An
+ * operation counts as reaching a service for a minute after the last answer that showed it. Invariant: a cut that is
+ * not reported again has no effect after a second. Not thread safe: the policy's thread owns it.
  */
 public final class ChainCuts {
 
@@ -29,7 +28,7 @@
     private final Map<ServiceName, ServiceCuts> services = new TreeMap<>();
 
     /**
-     * Knows nothing yet.
+     * Starts without known cuts.
      *
      * @param own the service of this node
      */
@@ -38,25 +37,25 @@
     }
 
     /**
-     * Takes note of the cuts that came with an answer, of whatever outcome.
+     * Records the cuts that came with an answer, whatever its outcome.
      *
      * @param now nanoseconds on the monotonic clock
      * @param operation the operation of this node's service during which the answering node was called
      * @param from the answering node
-     * @param below the cuts of the answering node's service and of those that it reaches
+     * @param reportedCuts the cuts of the answering node's service and of those that it reaches
      */
-    public void learned(long now, String operation, NodeName from, List<ServiceCut> below) {
-        for (ServiceCut cut : below) {
+    public void recordCuts(long now, String operation, NodeName from, List<ServiceCut> reportedCuts) {
+        for (ServiceCut cut : reportedCuts) {
             if (!cut.service().equals(own)) {
                 reachedBy.computeIfAbsent(operation, key -> new TreeMap<>()).put(cut.service(), now);
                 services.computeIfAbsent(cut.service(), key -> new ServiceCuts())
-                        .heard(now, from, cut.level());
+                        .reported(now, from, cut.level());
             }
         }
     }
 
     /**
-     * Decides whether a request has a chance below.
+     * Checks a request against the cuts of the deeper services that its operation reaches.
      *
      * @param now nanoseconds on the monotonic clock
      * @param operation the operation of this node's service
@@ -71,7 +70,7 @@
                 return Optional.of(new ChainRefusal(service, cuts.refused(now)));
             }
         }
-        reached.forEach(service -> services.get(service).passed(now));
+        reached.forEach(service -> services.get(service).admitted(now));
         return Optional.empty();
     }
 
@@ -93,20 +92,20 @@
     }
 
     /**
-     * Tells the present cut of each deeper service.
+     * Returns the current cut of each deeper service.
      *
      * @param now nanoseconds on the monotonic clock
-     * @return the lowest level that has a chance, by service
+     * @return the lowest level that is admitted, by service
      */
-    public Map<ServiceName, Integer> present(long now) {
+    public Map<ServiceName, Integer> currentLevels(long now) {
         Map<ServiceName, Integer> levels = new TreeMap<>();
         services.forEach((service, cuts) -> levels.put(service, cuts.level(now)));
         return levels;
     }
 
     private Set<ServiceName> reached(long now, String operation) {
-        Map<ServiceName, Long> lastHeard = reachedBy.computeIfAbsent(operation, key -> new TreeMap<>());
-        lastHeard.values().removeIf(heardNanos -> now - heardNanos > REACH_MEMORY_NANOS);
-        return lastHeard.keySet();
+        Map<ServiceName, Long> lastReported = reachedBy.computeIfAbsent(operation, key -> new TreeMap<>());
+        lastReported.values().removeIf(reportedNanos -> now - reportedNanos > REACH_MEMORY_NANOS);
+        return lastReported.keySet();
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/admission/ContentionProbe.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/ContentionProbe.java
@@ -3,32 +3,33 @@
 import org.carawaysill.policy.admission.LearnedLimit.Sample;
 
 /**
- * Finds out whether requests at the copy hinder each other, by trying fewer of them.
+ * Detects whether requests contend for resources of the copy, by running trials with a lower concurrency limit.
  *
- * <p>When the mean own time of a round of requests has been well above the usual for a while, a trial with a quarter
- * less in flight follows. If the time falls with the number in flight, the lower limit costs no throughput and stays,
- * and the next trial goes lower still. If it does not, the copy is slow for another reason: the limit goes back, and
- * the next trial waits twice as long, since each costs a part of the slots. From a lowered limit, trials go up again,
- * and back when nothing is gained.
+ * <p>When the mean own time of a round of requests has stayed well above the baseline for a while, a trial with a quarter
+ * fewer in flight follows. If the time falls with the number in flight, the lower limit costs no throughput and stays,
+ * and the next trial goes lower still. If it does not, the copy is slow for another reason: the limit is restored, and
+ * the next trial waits twice as long, since each trial costs a part of the slots. From a lowered limit, trials with a
+ * higher one follow, which are undone when they gain nothing.
  *
- * <p>Rounds count requests only while the limit is in use, and only once as many have ended as were in flight when the
- * limit changed: the first to end are the quick ones, and their mean would look like a gain. A limit that is
- * not in use says nothing and is forgotten. Invariant: the limit is between 1 and the slots. Not thread safe.
+ * <p>Rounds count requests only while the limit is fully used, and only once one and a half times the larger of the old
+ * and the new limit have ended since a change: the first to end are the quick ones, and their mean would look like a
+ * gain. A lowered limit that is not fully used gives no evidence and is reset to the slots. Invariant: the limit is
+ * between 1 and the slots. Not thread safe.
  */
 final class ContentionProbe {
 
-    private static final double SLOWER = 1.5;
-    private static final double STEP = 0.75;
-    /** How much quicker a request must get for fewer in flight to be as good; {@link #STEP} would give 4/3. */
-    private static final double GAIN = 7.0 / 6;
+    private static final double SLOW_FACTOR = 1.5;
+    private static final double LIMIT_FACTOR = 0.75;
+    /** The least speedup that makes a lower limit as good; in proportion to {@link #LIMIT_FACTOR} it would be 4/3. */
+    private static final double MINIMUM_SPEEDUP = 7.0 / 6;
 
-    private static final int ROUND = 48;
-    private static final double USUAL_GAIN = 1.0 / 128;
-    private static final long REST_NANOS = 1_000_000_000L;
-    private static final long SHORTEST_PATIENCE_NANOS = 10_000_000_000L;
-    private static final long LONGEST_PATIENCE_NANOS = 60_000_000_000L;
+    private static final int REQUESTS_PER_ROUND = 48;
+    private static final double BASELINE_GAIN = 1.0 / 128;
+    private static final long PAUSE_NANOS = 1_000_000_000L;
+    private static final long MINIMUM_TRIAL_DELAY_NANOS = 10_000_000_000L;
+    private static final long MAXIMUM_TRIAL_DELAY_NANOS = 60_000_000_000L;
 
-    /** What the present round tries. */
+    /** The direction of the current trial. */
     private enum Trial {
         NONE,
         LOWER,
@@ -40,13 +41,13 @@
     private int limit = 1;
     private int previousLimit = 1;
     private double previousMean;
-    private double usualMean;
-    private int usualCount;
+    private double baselineMean;
+    private int baselineCount;
     private boolean slow;
     private long slowSinceNanos;
-    private long patienceNanos = SHORTEST_PATIENCE_NANOS;
-    private long restUntilNanos = Long.MIN_VALUE;
-    private int unsettled;
+    private long trialDelayNanos = MINIMUM_TRIAL_DELAY_NANOS;
+    private long pausedUntilNanos = Long.MIN_VALUE;
+    private int warmUpRequests;
     private int count;
     private double sum;
 
@@ -68,92 +69,92 @@
      */
     void served(long now, Sample sample) {
         if (sample.inFlight() <= slots / 2 && limit == slots) {
-            learnUsual(sample.ownNanos());
+            updateBaseline(sample.ownNanos());
         }
         if (sample.inFlight() < limit) {
-            forgetUnused(now);
+            resetUnusedLimit(now);
             return;
         }
-        if (unsettled > 0) {
-            unsettled--;
+        if (warmUpRequests > 0) {
+            warmUpRequests--;
             return;
         }
         count++;
         sum += sample.ownNanos();
-        if (count >= ROUND) {
-            judge(now, sum / count);
+        if (count >= REQUESTS_PER_ROUND) {
+            evaluateRound(now, sum / count);
         }
     }
 
-    private void learnUsual(long ownNanos) {
-        usualCount++;
-        usualMean += (ownNanos - usualMean) * Math.max(USUAL_GAIN, 1.0 / usualCount);
+    private void updateBaseline(long ownNanos) {
+        baselineCount++;
+        baselineMean += (ownNanos - baselineMean) * Math.max(BASELINE_GAIN, 1.0 / baselineCount);
     }
 
-    private void forgetUnused(long now) {
-        if (limit < slots && trial == Trial.NONE && now >= restUntilNanos) {
+    private void resetUnusedLimit(long now) {
+        if (limit < slots && trial == Trial.NONE && now >= pausedUntilNanos) {
             startRound(slots);
         }
     }
 
-    private void judge(long now, double mean) {
+    private void evaluateRound(long now, double mean) {
         if (trial == Trial.LOWER) {
-            judgeLower(now, previousMean / mean);
+            evaluateLowerLimit(now, previousMean / mean);
         } else if (trial == Trial.HIGHER) {
-            judgeHigher(now, previousMean / mean);
+            evaluateHigherLimit(now, previousMean / mean);
         } else {
-            judgeSteady(now, mean);
+            evaluateWithoutTrial(now, mean);
         }
     }
 
-    private void judgeSteady(long now, double mean) {
-        if (usualCount == 0) {
-            usualMean = mean;
-            usualCount = count;
+    private void evaluateWithoutTrial(long now, double mean) {
+        if (baselineCount == 0) {
+            baselineMean = mean;
+            baselineCount = count;
         }
         boolean wasSlow = slow;
-        slow = mean > usualMean * SLOWER;
+        slow = mean > baselineMean * SLOW_FACTOR;
         if (!slow) {
-            patienceNanos = SHORTEST_PATIENCE_NANOS;
+            trialDelayNanos = MINIMUM_TRIAL_DELAY_NANOS;
         } else if (!wasSlow) {
             slowSinceNanos = now;
         }
-        if (slow && limit > 1 && now - slowSinceNanos >= patienceNanos) {
-            begin(Trial.LOWER, mean, Math.max(1, (int) (limit * STEP)));
-        } else if (limit < slots && now >= restUntilNanos) {
-            begin(Trial.HIGHER, mean, Math.min(slots, (int) Math.ceil(limit / STEP)));
+        if (slow && limit > 1 && now - slowSinceNanos >= trialDelayNanos) {
+            beginTrial(Trial.LOWER, mean, Math.max(1, (int) (limit * LIMIT_FACTOR)));
+        } else if (limit < slots && now >= pausedUntilNanos) {
+            beginTrial(Trial.HIGHER, mean, Math.min(slots, (int) Math.ceil(limit / LIMIT_FACTOR)));
         } else {
             startRound(limit);
         }
     }
 
-    private void judgeLower(long now, double speedup) {
-        if (speedup < GAIN) {
+    private void evaluateLowerLimit(long now, double speedup) {
+        if (speedup < MINIMUM_SPEEDUP) {
             trial = Trial.NONE;
             slowSinceNanos = now;
-            patienceNanos = Math.min(2 * patienceNanos, LONGEST_PATIENCE_NANOS);
+            trialDelayNanos = Math.min(2 * trialDelayNanos, MAXIMUM_TRIAL_DELAY_NANOS);
             startRound(previousLimit);
         } else {
             trial = Trial.NONE;
-            restUntilNanos = now + REST_NANOS;
+            pausedUntilNanos = now + PAUSE_NANOS;
             startRound(limit);
         }
     }
 
-    private void judgeHigher(long now, double speedup) {
-        if (1 / speedup > GAIN) {
+    private void evaluateHigherLimit(long now, double speedup) {
+        if (1 / speedup > MINIMUM_SPEEDUP) {
             trial = Trial.NONE;
-            restUntilNanos = now + REST_NANOS;
+            pausedUntilNanos = now + PAUSE_NANOS;
             startRound(previousLimit);
         } else if (limit < slots) {
-            begin(Trial.HIGHER, previousMean / speedup, slots);
+            beginTrial(Trial.HIGHER, previousMean / speedup, slots);
         } else {
             trial = Trial.NONE;
             startRound(limit);
         }
     }
 
-    private void begin(Trial next, double mean, int nextLimit) {
+    private void beginTrial(Trial next, double mean, int nextLimit) {
         trial = next;
         previousMean = mean;
         previousLimit = limit;
@@ -161,7 +162,7 @@
     }
 
     private void startRound(int nextLimit) {
-        unsettled = nextLimit == limit ? 0 : 3 * Math.max(limit, nextLimit) / 2;
+        warmUpRequests = nextLimit == limit ? 0 : 3 * Math.max(limit, nextLimit) / 2;
         limit = nextLimit;
         count = 0;
         sum = 0;
--- a/policy/src/main/java/org/carawaysill/policy/admission/CopyAdmission.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/CopyAdmission.java
@@ -10,14 +10,14 @@
 import org.carawaysill.policy.message.PeerMessage.LoadReport;
 
 /**
- * Guards the local copy: at most as many requests run as its limit allows, a few wait, the rest is refused.
+ * Controls admission to the local copy: requests run up to its concurrency limit, a few wait, and the rest are refused.
  *
- * <p>Every request offered gets one verdict: it starts or it is refused. One that started may be cancelled later. All
- * that is known of the copy is what this node has seen itself; its own health and load pages are not asked.
+ * <p>Every offered request gets one verdict: it starts or it is refused. A started request may be cancelled later. All
+ * knowledge of the copy comes from this node's own observations; the copy's health and load endpoints are not queried.
  *
- * <p>Invariants: in flight is at most the limit whenever a request starts; the limit is between 1 and the slots; when a
- * request is refused for room, no less important one is kept waiting ({@link #breaches()} counts exceptions). Not
- * thread safe: the policy's thread owns it.
+ * <p>Invariants: whenever a request starts, at most as many are in flight as the limit; the limit is between 1 and the
+ * slots; when a request is refused for lack of room, no less important one keeps waiting ({@link #breaches()} counts
+ * violations). Not thread safe: the policy's thread owns it.
  */
 public final class CopyAdmission {
 
@@ -48,7 +48,7 @@
      *
      * @param now nanoseconds on the monotonic clock, never earlier than the last
      * @param candidate the request
-     * @return a verdict about it unless it waits, and about requests that give way to it
+     * @return a verdict about it unless it waits, and about requests that are refused or cancelled in its favour
      * @throws IllegalArgumentException if a request of this attempt waits or runs
      */
     public List<Verdict> offer(long now, Candidate candidate) {
@@ -63,7 +63,7 @@
         } else if (running.size() < limit.limit()) {
             start(now, candidate, verdicts);
         } else if (candidate.priority().level() < cut.lowestWaiting()) {
-            giveUp(now, candidate, RefusalReason.OVERLOAD, verdicts);
+            preemptOrRefuse(now, candidate, RefusalReason.OVERLOAD, verdicts);
         } else {
             enqueue(now, candidate, verdicts);
         }
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Takes note that a request ended at the copy.
+     * Records that a request ended at the copy.
      *
      * @param now nanoseconds on the monotonic clock, never earlier than the last
      * @param attempt the attempt; unknown ones are ignored
@@ -85,29 +85,29 @@
     }
 
     /**
-     * Takes note that a running request calls a deeper service: the time until {@link #answeredBelow} is not the
-     * copy's.
+     * Records that a running request calls a deeper service: the time until {@link #deeperCallEnded} does not count as the
+     * copy's own.
      *
      * @param now nanoseconds on the monotonic clock
      * @param attempt the running attempt; unknown ones are ignored
      */
-    public void calledBelow(long now, AttemptIdentifier attempt) {
-        running.get(attempt).ifPresent(caller -> caller.calledBelow(now));
+    public void deeperCallStarted(long now, AttemptIdentifier attempt) {
+        running.get(attempt).ifPresent(caller -> caller.deeperCallStarted(now));
     }
 
     /**
-     * Takes note that a call begun with {@link #calledBelow} ended.
+     * Records that a call begun with {@link #deeperCallStarted} ended.
      *
      * @param now nanoseconds on the monotonic clock
      * @param attempt the running attempt; unknown ones are ignored
      * @param answered whether the deeper service answered
      */
-    public void answeredBelow(long now, AttemptIdentifier attempt, boolean answered) {
-        running.get(attempt).ifPresent(caller -> caller.answeredBelow(now, answered));
+    public void deeperCallEnded(long now, AttemptIdentifier attempt, boolean answered) {
+        running.get(attempt).ifPresent(caller -> caller.deeperCallEnded(now, answered));
     }
 
     /**
-     * Forgets a request whose caller went away; a running one must be cancelled at the copy by whoever calls this.
+     * Removes a request whose caller has gone away; the caller of this method must cancel a running one at the copy.
      *
      * @param now nanoseconds on the monotonic clock, never earlier than the last
      * @param attempt the attempt; unknown ones are ignored
@@ -117,8 +117,8 @@
         advance(now);
         queue.remove(attempt);
         running.remove(attempt)
-                .ifPresent(
-                        ended -> hopTimes.tookLonger(now, ended.candidate().operation(), now - ended.startedNanos()));
+                .ifPresent(ended ->
+                        hopTimes.measuredAtLeast(now, ended.candidate().operation(), now - ended.startedNanos()));
         return wakeUp(now);
     }
 
@@ -131,7 +131,7 @@
     public List<Verdict> wakeUp(long now) {
         List<Verdict> verdicts = new ArrayList<>();
         advance(now);
-        giveUpOverdue(now, verdicts);
+        handleOverdue(now, verdicts);
         if (cut.due(now)) {
             updateCut(now, verdicts);
         }
@@ -142,7 +142,7 @@
     }
 
     /**
-     * Tells when {@link #wakeUp} must be called if nothing happens before.
+     * Returns when {@link #wakeUp} must be called if no other event comes before.
      *
      * @return a time on the monotonic clock in nanoseconds, {@link Long#MAX_VALUE} for never
      */
@@ -151,7 +151,7 @@
     }
 
     /**
-     * Tells the present load.
+     * Returns the current load.
      *
      * @return the load
      */
@@ -160,7 +160,7 @@
     }
 
     /**
-     * Tells the lowest priority level that has a chance here.
+     * Returns the lowest priority level that is admitted here.
      *
      * @return the level, 0 for all
      */
@@ -169,7 +169,7 @@
     }
 
     /**
-     * Tells whether nothing runs and nothing waits.
+     * Returns whether no request runs and none waits.
      *
      * @return whether the copy is idle
      */
@@ -188,9 +188,9 @@
     }
 
     /**
-     * Counts the times that a request was refused for room while a less important one was kept waiting.
+     * Returns how often a request was refused for lack of room while a less important one kept waiting.
      *
-     * @return the number of breaches since the start, 0 if all is well
+     * @return the number of violations since the start; any other value than 0 is a defect
      */
     public int breaches() {
         return breaches;
@@ -213,37 +213,38 @@
         if (finish == Finish.ANSWERED) {
             hopTimes.measured(now, ended.candidate().operation(), now - ended.startedNanos());
         } else {
-            learnCutShort(now, ended);
+            learnFromUnanswered(now, ended);
         }
     }
 
-    private void learnCutShort(long now, RunningRequest ended) {
+    private void learnFromUnanswered(long now, RunningRequest ended) {
         if (!pauses.pausedSince(ended.startedNanos())) {
-            hopTimes.tookLonger(now, ended.candidate().operation(), now - ended.startedNanos());
+            hopTimes.measuredAtLeast(now, ended.candidate().operation(), now - ended.startedNanos());
         }
     }
 
     private long latestStart(long now, Candidate candidate) {
-        return candidate.deadlineNanos() - hopTimes.quickNanos(now, candidate.operation());
+        return candidate.deadlineNanos() - hopTimes.lowerNanos(now, candidate.operation());
     }
 
     private void enqueue(long now, Candidate candidate, List<Verdict> verdicts) {
-        long slowNanos = mayCancelFor(candidate) ? hopTimes.slowNanos(now, candidate.operation()) : 0;
+        long slowNanos = mayCancelFor(candidate) ? hopTimes.upperNanos(now, candidate.operation()) : 0;
         queue.add(candidate, Math.min(candidate.deadlineNanos() - slowNanos, latestStart(now, candidate)));
         while (queue.size() > settings.queueCapacity(limit.limit())) {
             Candidate least = queue.removeLeastImportant(cut.overloaded());
-            giveUp(now, least, least.equals(candidate) ? RefusalReason.QUEUE_FULL : RefusalReason.EVICTED, verdicts);
+            preemptOrRefuse(
+                    now, least, least.equals(candidate) ? RefusalReason.QUEUE_FULL : RefusalReason.EVICTED, verdicts);
         }
     }
 
-    private void giveUpOverdue(long now, List<Verdict> verdicts) {
+    private void handleOverdue(long now, List<Verdict> verdicts) {
         Optional<Candidate> overdue = queue.removeOverdue(now);
         while (overdue.isPresent()) {
             Candidate candidate = overdue.get();
             long latestStart = latestStart(now, candidate);
             if (latestStart <= now) {
                 verdicts.add(refuse(now, candidate, RefusalReason.DEADLINE));
-            } else if (!startInsteadOfAnother(now, candidate, verdicts)) {
+            } else if (!startByPreemption(now, candidate, verdicts)) {
                 queue.add(candidate, latestStart);
             }
             overdue = queue.removeOverdue(now);
@@ -254,7 +255,7 @@
         int allowed = limit.limit();
         cut.update(now, queue, settings.queueTarget(allowed), allowed, serviceRate.perSecond(allowed));
         while (queue.lowestLevel() < cut.lowestWaiting()) {
-            giveUp(now, queue.removeLeastImportant(cut.overloaded()), RefusalReason.OVERLOAD, verdicts);
+            preemptOrRefuse(now, queue.removeLeastImportant(cut.overloaded()), RefusalReason.OVERLOAD, verdicts);
         }
     }
 
@@ -263,8 +264,8 @@
         verdicts.add(new Verdict.Start(candidate.attempt()));
     }
 
-    private void giveUp(long now, Candidate candidate, RefusalReason reason, List<Verdict> verdicts) {
-        if (!startInsteadOfAnother(now, candidate, verdicts)) {
+    private void preemptOrRefuse(long now, Candidate candidate, RefusalReason reason, List<Verdict> verdicts) {
+        if (!startByPreemption(now, candidate, verdicts)) {
             if (queue.lowestLevel() < candidate.priority().level()) {
                 breaches++;
             }
@@ -276,7 +277,7 @@
         return settings.cancelForCritical() && candidate.priority().importance() == Importance.CRITICAL;
     }
 
-    private boolean startInsteadOfAnother(long now, Candidate candidate, List<Verdict> verdicts) {
+    private boolean startByPreemption(long now, Candidate candidate, List<Verdict> verdicts) {
         boolean allowed = mayCancelFor(candidate) && running.size() <= limit.limit();
         Optional<Candidate> cancelled = allowed ? running.removeCancellable() : Optional.empty();
         cancelled.ifPresent(victim -> {
--- a/policy/src/main/java/org/carawaysill/policy/admission/CutSchedule.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/CutSchedule.java
@@ -3,10 +3,10 @@
 import org.carawaysill.policy.admission.ForecastCut.Pressure;
 
 /**
- * Decides the admission cut anew in every period in which something is at stake.
+ * Updates the admission cut once per period while levels are closed or requests wait.
  *
  * <p>Invariant: while levels are closed or requests wait, {@link #nextUpdateNanos} is at most a period away, so the cut
- * falls also in silence. Not thread safe.
+ * also falls when no events arrive. Not thread safe.
  */
 final class CutSchedule {
 
@@ -21,17 +21,17 @@
     }
 
     /**
-     * Takes note of time in slots.
+     * Adds to the time for which slots were in use.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param nanos time passed, for each request at the copy
+     * @param nanos elapsed time, summed over the requests at the copy
      */
     void busy(long now, double nanos) {
         if (lastNanos == Long.MIN_VALUE) {
             lastNanos = now;
         }
         busyNanos += nanos;
-        cut.takeTurn();
+        cut.alternateMargin();
     }
 
     boolean due(long now) {
@@ -39,13 +39,13 @@
     }
 
     /**
-     * Decides the cut.
+     * Updates the cut.
      *
      * @param now nanoseconds on the monotonic clock
-     * @param queue what waits
+     * @param queue the waiting requests
      * @param queueTarget how many should wait
      * @param limit the concurrency limit
-     * @param answersPerSecond what the copy answers with its limit in use
+     * @param answersPerSecond the rate of answers of the copy with its limit fully used
      */
     void update(long now, AdmissionQueue queue, double queueTarget, int limit, double answersPerSecond) {
         long elapsed = now - lastNanos;
--- a/policy/src/main/java/org/carawaysill/policy/admission/DecayedCount.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/DecayedCount.java
@@ -1,6 +1,6 @@
 package org.carawaysill.policy.admission;
 
-/** Counts occurrences of about the last second, older ones with exponentially less weight. Not thread safe. */
+/** Counts events with exponentially decaying weights and a time constant of one second. Not thread safe. */
 final class DecayedCount {
 
     private static final double MEMORY_NANOS = 1e9;
@@ -14,10 +14,10 @@
     }
 
     /**
-     * Tells the count.
+     * Returns the count.
      *
      * @param now nanoseconds on the monotonic clock
-     * @return the count, which is also the rate per second
+     * @return the count, which with this time constant is also the rate per second
      */
     double value(long now) {
         return count * Math.exp(-Math.max(0, now - lastNanos) / MEMORY_NANOS);
--- a/policy/src/main/java/org/carawaysill/policy/admission/ForecastCut.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/ForecastCut.java
@@ -4,18 +4,19 @@
 import org.carawaysill.model.request.Priority;
 
 /**
- * Closes the priority levels whose requests would pile up beyond the queue that the copy needs.
+ * Closes the priority levels whose requests would make the queue longer than the copy needs.
  *
- * <p>From the most important level down it adds up what waits and what will arrive within a short horizon. While that
- * is no more than the copy will answer within the horizon plus the wanted queue, the level is open. The first level
- * that fits in part is the margin. Answers report it as open and as closed in turns, such that its requests fit: a site
- * with few callers, each a large part of the traffic, is neither flooded nor starved.
+ * <p>From the most important level down, it adds up the waiting requests and those expected to arrive within a short
+ * horizon. A level is open while the sum is no more than the copy will answer within the horizon plus the target queue.
+ * The first level that fits only in part is the margin. Answers report it alternately as open and as closed, in the
+ * proportion that makes its requests fit, so that a service with few callers, each a large part of the traffic, is
+ * neither flooded nor starved.
  *
- * <p>A closed level's arrivals can't be seen, since callers hold them back; the last known number is remembered for a
- * while. The cut rises at once, but only where the wanted queue is already waiting, so that a burst in the arrivals of
- * important requests that fit does not close their level. It falls slowly while all slots are in use, and in doubling
- * steps while nothing waits and slots are idle or nothing arrives, which proves that the cut is too high. So the cut is
- * gone within half a second when there is room.
+ * <p>Arrivals at a closed level can't be observed, since callers hold them back; the last known number is remembered for a
+ * while. The cut rises at once, but only if the target queue is already waiting, so that a burst of important requests
+ * that fit does not close their level. It falls slowly while all slots are in use, and in doubling steps while nothing
+ * waits and slots are idle or nothing arrives, which proves that the cut is too high. So the cut falls to zero within
+ * half a second when there is room.
  *
  * <p>Not thread safe.
  */
@@ -26,8 +27,8 @@
     private static final double MEMORY_NANOS = 3e9;
     private static final double MEMORY_WEIGHT = 0.3;
     private static final double IDLE_SHARE = 0.05;
-    private static final int SHORTEST_FALL = 4;
-    private static final int GENTLE_PART = 8;
+    private static final int MINIMUM_FALL = 4;
+    private static final int SLOW_FALL_DIVISOR = 8;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final int[] arrivals = new int[LEVELS];
@@ -38,7 +39,7 @@
     private double marginShare = 1;
     private double marginCredit;
     private int level;
-    private int idleFall = SHORTEST_FALL;
+    private int idleFall = MINIMUM_FALL;
 
     /** Starts with all levels open. */
     ForecastCut() {
@@ -46,7 +47,7 @@
     }
 
     /**
-     * Takes note of a request, admitted or not.
+     * Counts the arrival of a request, admitted or not.
      *
      * @param at its priority level
      */
@@ -55,7 +56,7 @@
     }
 
     /**
-     * Decides anew; called once in a while.
+     * Updates the cut; called once per period.
      *
      * @param elapsedNanos time since the last call
      * @param pressure the state of the local copy
@@ -68,14 +69,14 @@
         if (room && pressure.queue().isEmpty()) {
             reopen(before);
         } else {
-            idleFall = SHORTEST_FALL;
-            fallBy(before, Math.max(SHORTEST_FALL, (before - margin) / GENTLE_PART));
+            idleFall = MINIMUM_FALL;
+            limitFall(before, Math.max(MINIMUM_FALL, (before - margin) / SLOW_FALL_DIVISOR));
         }
-        takeTurn();
+        alternateMargin();
     }
 
-    /** Takes the next turn of the margin, open or closed; called with each event, so that answers alternate too. */
-    void takeTurn() {
+    /** Opens or closes the margin for the next answers; called with each event, so that successive answers alternate. */
+    void alternateMargin() {
         marginCredit += marginShare;
         boolean open = marginCredit >= 1;
         marginCredit -= open ? 1 : 0;
@@ -83,16 +84,16 @@
     }
 
     /**
-     * Tells whether every level is open all the time.
+     * Returns whether every level is open, the margin included.
      *
-     * @return whether nothing is closed
+     * @return whether no level is closed
      */
     boolean allOpen() {
         return margin == 0 && marginShare == 1;
     }
 
     /**
-     * Tells which requests may wait here.
+     * Returns which requests may wait here.
      *
      * @return the lowest level that may
      */
@@ -101,9 +102,9 @@
     }
 
     /**
-     * Tells which requests callers should send.
+     * Returns which requests callers should send.
      *
-     * @return the lowest level that has a chance, 0 for all
+     * @return the lowest level that is admitted, 0 for all
      */
     int level() {
         return level;
@@ -145,12 +146,12 @@
     }
 
     private void reopen(int before) {
-        fallBy(before, idleFall);
+        limitFall(before, idleFall);
         Arrays.fill(expected, margin, before, 0);
         idleFall = Math.min(2 * idleFall, LEVELS);
     }
 
-    private void fallBy(int before, int most) {
+    private void limitFall(int before, int most) {
         if (margin < before - most) {
             margin = before - most;
             marginShare = 1;
@@ -160,9 +161,9 @@
     /**
      * The state of the local copy when the cut is decided.
      *
-     * @param queue what waits
-     * @param answersPerSecond what the copy answers with its limit in use
-     * @param queueTarget how many should wait, so that no slot is free for want of work
+     * @param queue the waiting requests
+     * @param answersPerSecond the rate of answers of the copy with its limit fully used
+     * @param queueTarget how many should wait, so that no slot idles for lack of work
      * @param idleShare the share of the limit that was not in use, 0 to 1
      */
     record Pressure(AdmissionQueue queue, double answersPerSecond, double queueTarget, double idleShare) {}
--- a/policy/src/main/java/org/carawaysill/policy/admission/HopTimes.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/HopTimes.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * How long requests of each operation usually take at this hop, from their start at the copy to their answer.
+ * Estimates how long requests of each operation take at this hop, from their start at the copy to their answer.
  *
- * <p>Mean and mean deviation are tracked as TCP tracks its round-trip time (RFC 6298). The quick end of what is usual
- * is the mean less the deviation: a request with less time left than that can hardly finish.
+ * <p>Mean and mean deviation are tracked as TCP tracks its round-trip time (RFC 6298). The lower end of the usual range
+ * is the mean minus the deviation: a request with less time left than that is unlikely to finish.
  *
- * <p>An estimate that is not confirmed halves with each {@link #HALVING_NANOS}. Without that, one slow spell could make
- * every request look hopeless; none would run, and nothing would ever correct the estimate.
+ * <p>An estimate that is not confirmed halves with each {@link #HALVING_NANOS}. Otherwise one slow period could make
+ * every request look too late; none would run, and no measurement would ever correct the estimate.
  *
  * <p>Not thread safe.
  */
@@ -29,13 +29,13 @@
     }
 
     /**
-     * Takes note of a request that ended without an answer: it would have taken at least as long.
+     * Records a request that ended without an answer and would have taken at least as long.
      *
      * @param now nanoseconds on the monotonic clock
      * @param operation the operation's name
      * @param nanos how long it had run
      */
-    void tookLonger(long now, String operation, long nanos) {
+    void measuredAtLeast(long now, String operation, long nanos) {
         Estimate estimate = byOperation.get(operation);
         if (estimate != null && nanos > estimate.mean) {
             measured(now, operation, nanos);
@@ -43,27 +43,27 @@
     }
 
     /**
-     * Tells the quick end of an operation's usual time.
+     * Returns the lower end of an operation's usual time.
      *
      * @param now nanoseconds on the monotonic clock
      * @param operation the operation's name
      * @return nanoseconds, 0 if nothing is known
      */
-    long quickNanos(long now, String operation) {
+    long lowerNanos(long now, String operation) {
         Estimate estimate = byOperation.get(operation);
-        return estimate == null ? 0 : estimate.aged(now, Math.max(0, estimate.mean - estimate.deviation));
+        return estimate == null ? 0 : estimate.decayed(now, Math.max(0, estimate.mean - estimate.deviation));
     }
 
     /**
-     * Tells the slow end of an operation's usual time.
+     * Returns the upper end of an operation's usual time.
      *
      * @param now nanoseconds on the monotonic clock
      * @param operation the operation's name
      * @return nanoseconds, 0 if nothing is known
      */
-    long slowNanos(long now, String operation) {
+    long upperNanos(long now, String operation) {
         Estimate estimate = byOperation.get(operation);
-        return estimate == null ? 0 : estimate.aged(now, estimate.mean + SLOW_DEVIATIONS * estimate.deviation);
+        return estimate == null ? 0 : estimate.decayed(now, estimate.mean + SLOW_DEVIATIONS * estimate.deviation);
     }
 
     private static final class Estimate {
@@ -83,7 +83,7 @@
             confirmedNanos = now;
         }
 
-        long aged(long now, double nanos) {
+        long decayed(long now, double nanos) {
             long halvings = Math.min(LONGEST_SHIFT, (now - confirmedNanos) / HALVING_NANOS);
             return (long) nanos >> halvings;
         }
--- a/policy/src/main/java/org/carawaysill/policy/admission/LearnedLimit.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/LearnedLimit.java
@@ -1,15 +1,15 @@
 package org.carawaysill.policy.admission;
 
 /**
- * The published slots, unless the copy shows that it can't use them.
+ * Learns the concurrency limit of the copy: the published slots, unless the copy turns out not to sustain them.
  *
- * <p>Two signs lower the limit. A failure lowers it by a part at once; each answer raises it again, and for a while not
- * beyond the number at which it failed. A copy that gets slower is asked a question before the limit falls for good:
- * does the time per request shrink with fewer requests in flight? If it does, they hinder each other, and the limit
- * goes down as long as that costs no throughput; if not, the copy is slow for another reason, and a lower limit would
- * only waste its slots. More is tried again and again.
+ * <p>Two signals lower the limit. A failure lowers it at once by {@link #FAILURE_FACTOR}; each answer raises it again by
+ * one, but for {@link #HOLD_NANOS} not to the number at which the copy failed. When the copy gets slower, a {@link
+ * ContentionProbe} tests whether the time per request shrinks with fewer requests in flight. If it does, they contend
+ * with each other, and the limit goes down as long as that costs no throughput; if not, the copy is slow for another
+ * reason, and a lower limit would only waste its slots. A higher limit is tried at intervals.
  *
- * <p>Invariant: between 1 and the slots. Not thread safe.
+ * <p>Invariant: the limit is between 1 and the slots. Not thread safe.
  */
 final class LearnedLimit {
 
@@ -24,7 +24,7 @@
     private long holdUntilNanos;
 
     /**
-     * Changes the upper bound; a new one starts the learning afresh.
+     * Changes the upper bound; a different one discards what was learned.
      *
      * @param published the slots of the copy
      * @throws IllegalArgumentException if that is less than 1
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Tells the limit.
+     * Returns the limit.
      *
      * @return 1 to the slots
      */
@@ -81,8 +81,8 @@
     /**
      * Lowers the limit, once for all requests that were in flight together.
      *
-     * <p>A failure of a single request says nothing about how many are too many: a copy that was down must get its
-     * slots back as soon as it answers.
+     * <p>A failure with a single request in flight does not set a ceiling, since it does not show how many are too many:
+     * a copy that was down must get its slots back as soon as it answers.
      */
     private void failed(long now, Sample sample) {
         if (sample.startedNanos() < lastFallNanos) {
@@ -100,17 +100,17 @@
      * @param startedNanos when it was handed to the copy
      * @param inFlight requests at the copy just before the end
      * @param ownNanos how long the copy itself took, without the time that it waited for deeper services
-     * @param result what it says about the copy
+     * @param result what its end shows about the copy
      */
     record Sample(long startedNanos, int inFlight, long ownNanos, Result result) {}
 
-    /** What the end of a request says about the copy. */
+    /** What the end of a request shows about the copy. */
     enum Result {
-        /** The copy did its work. */
+        /** The copy served the request. */
         SERVED,
-        /** The copy could not do its work. */
+        /** The copy failed to serve the request. */
         FAILED,
-        /** Nothing: the cause lies elsewhere. */
+        /** Nothing, because the cause may lie with a deeper service. */
         UNCLEAR
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/admission/RetryAdvice.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/RetryAdvice.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /**
- * When a refused request should come back: once what waits now, and what was refused within the last second, can have
- * been answered at the present rate.
+ * Computes when a refused request should be retried: once the requests that wait now and those refused within about the
+ * last second can have been answered at the current rate.
  *
- * <p>The advice is spread by half its length either way, so that those refused together don't return together.
- * Invariant: between {@link #SHORTEST} and {@link #LONGEST}. Not thread safe.
+ * <p>The advice is jittered by up to half its length either way, so that requests refused together don't return
+ * together. Invariant: the advice is between {@link #SHORTEST} and {@link #LONGEST}. Not thread safe.
  */
 final class RetryAdvice {
 
@@ -26,13 +26,13 @@
     private final DecayedCount refused = new DecayedCount();
 
     /**
-     * Takes note of a refusal and gives advice.
+     * Records a refusal and returns the advice for it.
      *
      * @param now nanoseconds on the monotonic clock
      * @param waiting how many requests wait
      * @param answersPerSecond how fast they are answered
-     * @param salt what tells this refusal from others
-     * @return when to come back
+     * @param salt a value that differs between refusals and determines the jitter
+     * @return how long the caller should wait before it tries again
      */
     Duration refuse(long now, int waiting, double answersPerSecond, long salt) {
         refused.add(now);
--- a/policy/src/main/java/org/carawaysill/policy/admission/RunningRequest.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/RunningRequest.java
@@ -3,15 +3,15 @@
 import org.carawaysill.policy.admission.LearnedLimit.Result;
 import org.carawaysill.policy.admission.LearnedLimit.Sample;
 
-/** A request at the local copy, and how much of its time it spent waiting for deeper services. Not thread safe. */
+/** A request at the local copy that measures how long it waits for deeper services. Not thread safe. */
 final class RunningRequest {
 
     private final Candidate candidate;
     private final long startedNanos;
-    private int callsBelow;
-    private long belowSinceNanos;
-    private long belowNanos;
-    private boolean failedBelow;
+    private int openDeeperCalls;
+    private long waitingSinceNanos;
+    private long waitedNanos;
+    private boolean deeperCallFailed;
 
     RunningRequest(Candidate candidate, long startedNanos) {
         this.candidate = candidate;
@@ -26,32 +26,32 @@
         return startedNanos;
     }
 
-    void calledBelow(long now) {
-        if (callsBelow++ == 0) {
-            belowSinceNanos = now;
+    void deeperCallStarted(long now) {
+        if (openDeeperCalls++ == 0) {
+            waitingSinceNanos = now;
         }
     }
 
-    void answeredBelow(long now, boolean answered) {
-        failedBelow |= !answered;
-        if (callsBelow > 0 && --callsBelow == 0) {
-            belowNanos += now - belowSinceNanos;
+    void deeperCallEnded(long now, boolean answered) {
+        deeperCallFailed |= !answered;
+        if (openDeeperCalls > 0 && --openDeeperCalls == 0) {
+            waitedNanos += now - waitingSinceNanos;
         }
     }
 
     Sample sample(long now, int inFlight, Finish finish) {
-        long openBelow = callsBelow > 0 ? now - belowSinceNanos : 0;
-        long ownNanos = now - startedNanos - belowNanos - openBelow;
+        long openWaitNanos = openDeeperCalls > 0 ? now - waitingSinceNanos : 0;
+        long ownNanos = now - startedNanos - waitedNanos - openWaitNanos;
         return new Sample(startedNanos, inFlight, ownNanos, result(finish));
     }
 
-    /** A copy that fails because a deeper service failed it is not to blame, nor is one that still waits for it. */
+    /** A failure is not attributed to the copy if a call to a deeper service failed or is still open. */
     private Result result(Finish finish) {
-        boolean blameBelow = failedBelow || callsBelow > 0;
+        boolean deeperCause = deeperCallFailed || openDeeperCalls > 0;
         return switch (finish) {
             case ANSWERED -> Result.SERVED;
-            case FAILED -> blameBelow ? Result.UNCLEAR : Result.FAILED;
-            case LOST -> blameBelow ? Result.UNCLEAR : Result.FAILED;
+            case FAILED -> deeperCause ? Result.UNCLEAR : Result.FAILED;
+            case LOST -> deeperCause ? Result.UNCLEAR : Result.FAILED;
         };
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/admission/RunningRequests.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/RunningRequests.java
@@ -9,21 +9,21 @@
 import org.carawaysill.model.request.Importance;
 
 /**
- * The requests at the local copy, and which of them may be cancelled for a critical one.
+ * Holds the requests at the local copy, and which of them may be cancelled for a critical one.
  *
- * <p>Invariant: each attempt once. Every change costs the logarithm of their number. Not thread safe.
+ * <p>Invariant: each attempt occurs once. Every change takes time logarithmic in their number. Not thread safe.
  */
 final class RunningRequests {
 
-    /** The least important first; of equals the one in which the least time is lost. */
-    private static final Comparator<RunningRequest> CANCELLED_FIRST = Comparator.comparing(
+    /** The least important first; among equals the latest started, which loses the least work. */
+    private static final Comparator<RunningRequest> CANCELLATION_ORDER = Comparator.comparing(
                     (RunningRequest request) -> request.candidate().priority())
             .thenComparing(RunningRequest::startedNanos, Comparator.reverseOrder())
             .thenComparingLong(request -> request.candidate().attempt().high())
             .thenComparingLong(request -> request.candidate().attempt().low());
 
     private final Map<AttemptIdentifier, RunningRequest> byAttempt = new HashMap<>();
-    private final TreeSet<RunningRequest> cancellable = new TreeSet<>(CANCELLED_FIRST);
+    private final TreeSet<RunningRequest> cancellable = new TreeSet<>(CANCELLATION_ORDER);
 
     void start(long now, Candidate candidate) {
         RunningRequest request = new RunningRequest(candidate, now);
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Removes the request whose cancellation costs least.
+     * Removes the request whose cancellation loses the least.
      *
      * @return the request, if any is unimportant and idempotent
      */
--- a/policy/src/main/java/org/carawaysill/policy/admission/ServiceRate.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/ServiceRate.java
@@ -1,11 +1,12 @@
 package org.carawaysill.policy.admission;
 
 /**
- * How many requests a second the copy answers with all slots of its limit in use.
+ * Estimates how many requests per second the copy answers with all slots of its limit in use.
  *
- * <p>By Little's law the mean time that a request holds a slot is the busy time of all slots over the answers given in
- * it. Both are sums of about the last {@link #ANSWERS}. So the estimate follows a quick copy quickly, a copy that hangs
- * is seen at once by the answers that stay out, and an idle copy keeps its last ratio.
+ * <p>By Little's law the mean time that a request holds a slot is the busy time of all slots divided by the answers
+ * given in that time. Both are decaying sums over about the last {@link #ANSWERS} answers. So the estimate adapts fast
+ * to a fast copy, drops at once when a copy hangs, since busy time grows without answers, and stays constant while the
+ * copy is idle.
  *
  * <p>Not thread safe.
  */
@@ -19,25 +20,25 @@
     private double answers;
 
     /**
-     * Takes note of time in slots.
+     * Adds to the time for which slots were in use.
      *
-     * @param nanos time passed, for each request at the copy
+     * @param nanos elapsed time, summed over the requests at the copy
      */
     void busy(double nanos) {
         busyNanos += nanos;
     }
 
-    /** Takes note of an answer. */
+    /** Counts an answer. */
     void answered() {
         busyNanos *= KEPT;
         answers = answers * KEPT + 1;
     }
 
     /**
-     * Tells the rate at a limit.
+     * Returns the rate at a limit.
      *
      * @param limit requests at the copy
-     * @return answers a second, infinite while none is known
+     * @return answers per second, infinite before the first answer
      */
     double perSecond(int limit) {
         if (answers == 0 || busyNanos <= 0) {
--- a/policy/src/main/java/org/carawaysill/policy/admission/Verdict.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/Verdict.java
@@ -19,20 +19,20 @@
      *
      * @param attempt the attempt
      * @param reason why
-     * @param retryAfter when to come back
+     * @param retryAfter how long the caller should wait before it tries again
      */
     record Refuse(AttemptIdentifier attempt, RefusalReason reason, Duration retryAfter) implements Verdict {}
 
     /**
-     * Cancel the request at the copy, where it runs; its slot counts as free at once. The request may have run.
+     * Cancel the request, which runs at the copy; its slot counts as free at once. The request may have run.
      *
      * @param attempt the attempt
-     * @param retryAfter when to come back
+     * @param retryAfter how long the caller should wait before it tries again
      */
     record CancelRunning(AttemptIdentifier attempt, Duration retryAfter) implements Verdict {}
 
     /**
-     * Names the request.
+     * Returns the attempt that the verdict is about.
      *
      * @return the attempt that the verdict is about
      */
--- a/policy/src/main/java/org/carawaysill/policy/admission/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/package-info.java
@@ -1,4 +1,4 @@
-/** What runs at the local copy, what waits, and what is refused, here and on behalf of deeper services. */
+/** Admission control: which requests run at the local copy, wait, or are refused, also for deeper services. */
 @NullMarked
 package org.carawaysill.policy.admission;
 
--- a/policy/src/main/java/org/carawaysill/policy/engine/CopyCalls.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/CopyCalls.java
@@ -61,7 +61,7 @@
             return;
         }
         RequestFacts facts = facts(now, call, parent, caller, classification.get());
-        parent.flatMap(work -> call.parent()).ifPresent(attempt -> admission.calledBelow(now.nanos(), attempt));
+        parent.flatMap(work -> call.parent()).ifPresent(attempt -> admission.deeperCallStarted(now.nanos(), attempt));
         RequestLedger ledger = parent.map(Work::ledger).orElseGet(() -> new RequestLedger(0));
         runner.start(now, new Work(facts, ledger, Work.Scope.DEEPER_SERVICE, origin));
     }
--- a/policy/src/main/java/org/carawaysill/policy/engine/EngineParts.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/EngineParts.java
@@ -15,7 +15,7 @@
  * @param directory the documents in force
  * @param control configuration, membership and routing
  * @param admission guards the local copy
- * @param chainCuts what the services below admit
+ * @param chainCuts what the deeper services admit
  * @param ownership work that must run at most once
  * @param clientRetries idempotent work that callers may repeat elsewhere
  * @param retryGate decides about retries
--- a/policy/src/main/java/org/carawaysill/policy/engine/LoadView.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/LoadView.java
@@ -24,7 +24,7 @@
 
     /** Time that an attempt spends on a deeper call is not the local copy's own. */
     void answeredBelow(long now, AttemptIdentifier attempt, boolean answered) {
-        admission.answeredBelow(now, attempt, answered);
+        admission.deeperCallEnded(now, attempt, answered);
     }
 
     LoadReport load() {
--- a/policy/src/main/java/org/carawaysill/policy/engine/OverloadPolicy.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/OverloadPolicy.java
@@ -159,7 +159,7 @@
                         .filter(origin -> origin instanceof WorkOrigin.FromCopy)
                         .map(origin -> ((WorkOrigin.FromCopy) origin).parentOperation())
                         .findFirst())
-                .ifPresent(operation -> chainCuts.learned(now.nanos(), operation, from, answer.cuts()));
+                .ifPresent(operation -> chainCuts.recordCuts(now.nanos(), operation, from, answer.cuts()));
     }
 
     private void exchangeClosed(Moment now, ExchangeIdentifier exchange) {
@@ -233,7 +233,7 @@
                 load.limit(),
                 load.queued(),
                 load.cut(),
-                chainCuts.present(now.nanos()),
+                chainCuts.currentLevels(now.nanos()),
                 mayStopNanos != Long.MAX_VALUE,
                 control.versions(),
                 control.states(),
--- a/policy/src/test/java/org/carawaysill/policy/admission/ChainCutsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/admission/ChainCutsTest.java
@@ -19,7 +19,7 @@
     private final ChainCuts cuts = new ChainCuts(new ServiceName("tracker"));
 
     private void learn(long now, String node, int parties, int manifests) {
-        cuts.learned(
+        cuts.recordCuts(
                 now,
                 "lookup",
                 new NodeName(node),
@@ -51,26 +51,26 @@
     void refusesOnlyWhatNoCopyTakes() {
         learn(0, "parties-1", 300, 0);
         learn(0, "parties-2", 100, 0);
-        assertEquals(100, cuts.present(0).get(PARTIES));
+        assertEquals(100, cuts.currentLevels(0).get(PARTIES));
         learn(1, "parties-2", 350, 0);
-        assertEquals(300, cuts.present(1).get(PARTIES));
+        assertEquals(300, cuts.currentLevels(1).get(PARTIES));
     }
 
     /**
-     * Callers obey a cut, so they send nothing, so no answer tells them that it is gone: lookups are refused long after
-     * the overload.
+     * Guards against a cut that outlives its overload: callers that obey it send nothing, so no answer reports that it has
+     * been lifted, and requests are refused long after the overload.
      */
     @Test
     void fadesWithinASecondOfSilence() {
         learn(0, "parties-1", 0, 400);
         int last = 400;
         for (long now = 0; now <= 1_000 * MILLI; now += 10 * MILLI) {
-            int level = cuts.present(now).get(MANIFESTS);
+            int level = cuts.currentLevels(now).get(MANIFESTS);
             assertTrue(level <= last);
             last = level;
         }
-        assertEquals(400, cuts.present(400 * MILLI).get(MANIFESTS));
-        assertEquals(200, cuts.present(700 * MILLI).get(MANIFESTS));
+        assertEquals(400, cuts.currentLevels(400 * MILLI).get(MANIFESTS));
+        assertEquals(200, cuts.currentLevels(700 * MILLI).get(MANIFESTS));
         assertEquals(0, last);
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/admission/ChainOverloadTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/admission/ChainOverloadTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Clerks look bills up through three services. For six seconds demand doubles, the last service gets five times slower
- * and every client tries four times. Without cuts the copies above fill with requests that fail at the last hop, so
- * requests that never go there hang too; and the overload must not outlast its trigger.
+ * Simulates a chain of three services. For six seconds the demand doubles, the last service becomes five times slower,
+ * and every client makes up to four attempts. Without cuts the copies of the earlier services fill with requests that
+ * fail at the last hop, so requests that never reach it hang too. The overload must not outlast its trigger.
  */
 class ChainOverloadTest {
 
-    private static final long START = 3 * SECOND;
-    private static final long SETTLED = 4 * SECOND;
-    private static final long END = 9 * SECOND;
+    private static final long OVERLOAD_START = 3 * SECOND;
+    private static final long MEASURED_FROM = 4 * SECOND;
+    private static final long OVERLOAD_END = 9 * SECOND;
     private static final long STOP = 12 * SECOND;
-    private static final long MARK = SECOND / 10;
+    private static final long BUCKET = SECOND / 10;
     private static final double CAPACITY = 750;
     private static final double SLOWDOWN = 5;
     private static final List<FakeChain.Hop> HOPS = List.of(
@@ -76,13 +76,13 @@
         }
     }
 
-    /** One run with its clients. */
+    /** One simulation run with its clients. */
     private static final class Run {
         private final FakeChain chain;
         private final int callers;
         private final Tally important = new Tally();
         private final Tally shallow = new Tally();
-        private final double[] offered = new double[(int) (STOP / MARK) + 1];
+        private final double[] offered = new double[(int) (STOP / BUCKET) + 1];
         private final double[] answered = new double[offered.length];
 
         Run(FakeChain chain, int callers) {
@@ -96,8 +96,8 @@
         }
 
         private void arrive(int depth) {
-            boolean trouble = chain.now >= START && chain.now < END;
-            double perSecond = depth == 1 ? 1000 : CAPACITY * (trouble ? 2 : 0.7);
+            boolean overload = chain.now >= OVERLOAD_START && chain.now < OVERLOAD_END;
+            double perSecond = depth == 1 ? 1000 : CAPACITY * (overload ? 2 : 0.7);
             chain.after(chain.exponential(1 / perSecond), () -> {
                 request(depth);
                 arrive(depth);
@@ -109,13 +109,13 @@
             int importance = draw < 30 ? 0 : draw < 92 ? 1 : draw < 97 ? 2 : 3;
             int within = Math.floorMod(chain.random.nextInt(callers) * 0x9E3779B1 >>> 8, 128);
             Priority priority = new Priority(importance * Priority.LEVELS_PER_IMPORTANCE + within);
-            boolean counted = chain.now >= SETTLED && chain.now < END;
+            boolean counted = chain.now >= MEASURED_FROM && chain.now < OVERLOAD_END;
             Tally tally = !counted ? new Tally() : importance >= 2 ? important : depth == 1 ? shallow : new Tally();
             tally.offered++;
-            offered[(int) (chain.now / MARK)] += depth - 1;
+            offered[(int) (chain.now / BUCKET)] += depth - 1;
             attempt(priority, depth, 3, () -> {
                 tally.answered++;
-                answered[(int) (chain.now / MARK)] += depth - 1;
+                answered[(int) (chain.now / BUCKET)] += depth - 1;
             });
         }
 
@@ -131,19 +131,21 @@
         }
 
         double goodput() {
-            return sum(answered, SETTLED, END) / (CAPACITY / SLOWDOWN) / ((END - SETTLED) / SECOND);
+            return sum(answered, MEASURED_FROM, OVERLOAD_END)
+                    / (CAPACITY / SLOWDOWN)
+                    / ((OVERLOAD_END - MEASURED_FROM) / SECOND);
         }
 
         double recoverySeconds() {
-            long from = END;
+            long from = OVERLOAD_END;
             while (sum(answered, from, from + SECOND / 2) < 0.95 * sum(offered, from, from + SECOND / 2)) {
-                from += MARK;
+                from += BUCKET;
             }
-            return (double) (from - END) / SECOND;
+            return (double) (from - OVERLOAD_END) / SECOND;
         }
 
         private static double sum(double[] counts, long from, long to) {
-            return IntStream.range((int) (from / MARK), (int) (to / MARK))
+            return IntStream.range((int) (from / BUCKET), (int) (to / BUCKET))
                     .mapToDouble(at -> counts[at])
                     .sum();
         }
--- a/policy/src/test/java/org/carawaysill/policy/admission/CopyAdmissionInterleavingsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/admission/CopyAdmissionInterleavingsTest.java
@@ -24,7 +24,7 @@
 import org.carawaysill.policy.admission.Verdict.Refuse;
 import org.carawaysill.policy.admission.Verdict.Start;
 
-/** What holds in every interleaving of offers, ends, withdrawals, changes of the slots, wake-ups and pauses. */
+/** Checks the invariants in random sequences of offers, ends, withdrawals, slot changes, wake-ups and pauses. */
 class CopyAdmissionInterleavingsTest {
 
     private static final long MILLI = 1_000_000L;
@@ -43,7 +43,7 @@
         interleaving.silence();
     }
 
-    /** Drives one copy at random, and checks after each step. */
+    /** Applies random events to one copy's admission control, and checks the invariants after each step. */
     private static final class Interleaving {
         private final Random random;
         private final CopyAdmission admission;
@@ -171,7 +171,7 @@
                     .findFirst();
         }
 
-        /** Nothing arrives any more: the copy works off what it has, woken only when it asked to be. */
+        /** Ends all running requests without new arrivals; wakes the admission control only when it asked for it. */
         void silence() {
             while (!running.isEmpty()) {
                 List.copyOf(running.keySet()).forEach(attempt -> end(attempt, Finish.ANSWERED));
--- a/policy/src/test/java/org/carawaysill/policy/admission/CopyAdmissionTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/admission/CopyAdmissionTest.java
@@ -21,7 +21,7 @@
 
     private static final long MILLI = 1_000_000L;
 
-    /** One slot; two may wait. */
+    /** Has one slot and a queue of two. */
     private final CopyAdmission admission = new CopyAdmission(new AdmissionSettings(1, true), 1);
 
     private long now;
@@ -44,7 +44,7 @@
         return admission.finished(now, running.attempt(), Finish.ANSWERED);
     }
 
-    private void usualMillis(long millis) {
+    private void learnUsualTime(long millis) {
         for (int i = 0; i < 20; i++) {
             finish(offer(Importance.ORDINARY), millis);
         }
@@ -83,8 +83,8 @@
     }
 
     /**
-     * A posting finds the copy's queue full of postings while a report that may be repeated holds a slot. The teller would
-     * be told to come back, although the report can.
+     * Guards against refusing a critical request because the queue is full of critical ones while an unimportant idempotent
+     * request, which could be repeated instead, holds a slot.
      */
     @Nested
     class Cancelling {
@@ -120,7 +120,7 @@
 
         @Test
         void refusesAtOnceWhatTheUsualTimeRulesOut() {
-            usualMillis(100);
+            learnUsualTime(100);
             Refuse refuse = assertInstanceOf(
                     Refuse.class,
                     admission.offer(now, candidate(Importance.CRITICAL, 0, 50)).getFirst());
@@ -128,12 +128,12 @@
         }
 
         /**
-         * A copy is slow for a while. Every request would miss its deadline, so none runs, so nothing shows that the copy
-         * is quick again: refusals go on after the cause is gone.
+         * Guards against refusals that outlast their cause: a copy is slow for a while, every request would miss its
+         * deadline, so none runs, and no measurement shows that the copy is fast again.
          */
         @Test
         void triesAgainAfterASlowSpell() {
-            usualMillis(800);
+            learnUsualTime(800);
             now += 2_500 * MILLI;
             assertInstanceOf(
                     Start.class,
@@ -141,8 +141,8 @@
         }
 
         /**
-         * A node is paused for ten seconds while its copy answers. On waking the requests look as if each had taken ten
-         * seconds, and every new one would be refused as hopeless.
+         * Guards against attributing a pause of the node to its copy: the node is paused for ten seconds while the copy
+         * answers, the requests seem to have taken ten seconds each, and every new one would be refused as too late.
          */
         @Test
         void doesNotTakeItsOwnPauseForASlowCopy() {
@@ -165,7 +165,7 @@
 
         @Test
         void spreadsThoseRefusedTogetherAndGrowsWithTheirNumber() {
-            usualMillis(100);
+            learnUsualTime(100);
             List<Long> advices = new ArrayList<>();
             for (int i = 0; i < 63; i++) {
                 for (Verdict verdict : admission.offer(now, candidate(Importance.ORDINARY, 0, 2_000))) {
--- a/policy/src/test/java/org/carawaysill/policy/admission/FakeChain.java
+++ b/policy/src/test/java/org/carawaysill/policy/admission/FakeChain.java
@@ -13,11 +13,11 @@
 import org.carawaysill.model.identity.ServiceName;
 import org.carawaysill.model.request.Priority;
 
-/** Services in virtual time, whose copies hold a slot while they work and while they call the next service. */
+/** Simulates a chain of services in virtual time; a copy holds a slot while it works and while it calls the next one. */
 final class FakeChain {
 
     static final long SECOND = 1_000_000_000L;
-    private static final long HOP = SECOND / 1_000;
+    private static final long NETWORK_DELAY = SECOND / 1_000;
     private static final int STAGES = 4;
 
     record Hop(String service, int copies, int slots, double workSeconds) {}
@@ -67,7 +67,7 @@
 
     private record Call(Candidate candidate, int lastDepth, Consumer<Boolean> done) {}
 
-    /** A copy and its node. */
+    /** A copy with its node. */
     final class Node {
         final CopyAdmission admission;
         private final Hop hop;
@@ -117,7 +117,7 @@
 
         private void end(AttemptIdentifier attempt, boolean answered) {
             Call call = calls.remove(attempt);
-            after((double) HOP / SECOND, () -> call.done().accept(answered));
+            after((double) NETWORK_DELAY / SECOND, () -> call.done().accept(answered));
         }
 
         private void work(Call call) {
@@ -128,12 +128,12 @@
                 if (depth == call.lastDepth()) {
                     finish(call, true);
                 } else {
-                    callBelow(call);
+                    callDeeper(call);
                 }
             });
         }
 
-        private void callBelow(Call call) {
+        private void callDeeper(Call call) {
             Candidate above = call.candidate();
             Node target = services.get(depth + 1).stream()
                     .min(Comparator.comparing((Node node) ->
@@ -148,10 +148,10 @@
                     depth + 1,
                     now,
                     above.deadlineNanos());
-            admission.calledBelow(now, above.attempt());
+            admission.deeperCallStarted(now, above.attempt());
             target.arrive(new Call(below, call.lastDepth(), answered -> {
-                admission.answeredBelow(now, above.attempt(), answered);
-                cuts.learned(
+                admission.deeperCallEnded(now, above.attempt(), answered);
+                cuts.recordCuts(
                         now,
                         above.operation(),
                         target.name,
--- a/policy/src/test/java/org/carawaysill/policy/admission/LearnedLimitTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/admission/LearnedLimitTest.java
@@ -20,12 +20,12 @@
     private double now;
 
     @BeforeEach
-    void usualTimeIsKnown() {
+    void learnBaseline() {
         limit.slots(SLOTS);
         serve(1, SLOTS / 3, inFlight -> 40);
     }
 
-    /** A copy under steady load: requests end one by one, each after a time that depends on how many are in flight. */
+    /** Simulates steady load: requests end one by one, each after a time that depends on how many are in flight. */
     private void serve(double seconds, int most, IntToDoubleFunction millis) {
         double end = now + seconds * 1000 * MILLI;
         while (now < end) {
@@ -58,8 +58,8 @@
     }
 
     /**
-     * A copy is published with sixty slots but gets slower than in proportion beyond twenty. With all slots in use it
-     * serves a third of what it could.
+     * Guards against a published limit that is too high: the copy has sixty slots, but beyond twenty requests in flight
+     * its time per request grows faster than their number. With all slots in use it serves a third of its maximum.
      */
     @Test
     void fallsWhenMoreInFlightMakesItSlowerAndReturnsAfterwards() {
