--- a/policy/src/main/java/org/carawaysill/policy/ownership/Handovers.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/Handovers.java
@@ -16,35 +16,36 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Hands the table of a leaving holder to its successors, and takes those of others.
+ * Hands the table of a leaving holder over to its successors, and accepts the tables of other leaving holders.
  *
- * <p>The successor of a request is the node that ranks next for it, which becomes its holder when the leaving node alone
- * leaves the roster. It vouches for the time of the leaving node only once it has all parts; until then, and for a
- * request that goes to another node, the entries only add to what is known. Not thread safe: one thread owns it.
+ * <p>The successor for a request is the node that ranks next for it, which becomes its holder if only the leaving node
+ * leaves the roster. The successor vouches for the leaving node's term only once it has all parts; until then, and for a
+ * request whose holder becomes another node, the entries only add to the known requests. Not thread safe: one thread
+ * owns it.
  */
 final class Handovers {
 
-    private static final int MOST_TAKEN = 16;
-    private static final int PART_ENTRIES = 1_000;
-    private static final long PART_BYTES = 256 * 1024L;
+    private static final int MAXIMUM_KEPT = 16;
+    private static final int MAXIMUM_PART_ENTRIES = 1_000;
+    private static final long MAXIMUM_PART_BYTES = 256 * 1024L;
     private static final int ENTRY_BYTES = 64;
 
     private final NodeName self;
-    private final Map<Origin, Set<Integer>> partsTaken = new LinkedHashMap<>();
-    private final List<Taken> taken = new ArrayList<>();
+    private final Map<Origin, Set<Integer>> receivedParts = new LinkedHashMap<>();
+    private final List<CompleteHandover> completeHandovers = new ArrayList<>();
 
     /** One handover of one leaving node. */
     private record Origin(NodeName from, long rosterDigest, Vouch.Interval interval) {}
 
-    /** A handover that arrived whole. */
-    private record Taken(NodeName from, Roster roster, Vouch.Interval interval) {}
+    /** A handover of which all parts have arrived. */
+    private record CompleteHandover(NodeName from, Roster roster, Vouch.Interval interval) {}
 
     Handovers(NodeName self) {
         this.self = self;
     }
 
-    /** Makes the messages that hand a table over; successors without entries get the time vouched for alone. */
-    List<Effect> give(ServiceName service, Roster roster, Vouch.Interval interval, List<HolderEntry> entries) {
+    /** Creates the messages that hand a table over; successors without entries get only the vouched interval. */
+    List<Effect> handOver(ServiceName service, Roster roster, Vouch.Interval interval, List<HolderEntry> entries) {
         Map<NodeName, List<HolderEntry>> bySuccessor = new LinkedHashMap<>();
         roster.names().stream()
                 .filter(name -> !name.equals(self))
@@ -81,7 +82,7 @@
         long bytes = 0;
         for (HolderEntry entry : entries) {
             long size = ENTRY_BYTES + entry.outcome().map(KeptAnswers::size).orElse(0L);
-            boolean full = parts.getLast().size() == PART_ENTRIES || bytes + size > PART_BYTES;
+            boolean full = parts.getLast().size() == MAXIMUM_PART_ENTRIES || bytes + size > MAXIMUM_PART_BYTES;
             if (full && !parts.getLast().isEmpty()) {
                 parts.add(new ArrayList<>());
                 bytes = 0;
@@ -92,8 +93,8 @@
         return parts;
     }
 
-    /** Takes a part; the time is vouched for once all parts were taken whole, under a roster that is known here. */
-    void take(Moment now, NodeName from, HolderHandover part, Optional<Roster> roster, HolderTable table) {
+    /** Accepts a part; the interval is vouched for once all parts were accepted in full, under a roster known here. */
+    void accept(Moment now, NodeName from, HolderHandover part, Optional<Roster> roster, HolderTable table) {
         boolean complete = true;
         for (HolderEntry entry : part.entries()) {
             complete &= table.accept(now, entry);
@@ -103,32 +104,32 @@
         }
         Vouch.Interval interval = new Vouch.Interval(part.vouchedFromMillis(), part.vouchedUntilMillis());
         Origin origin = new Origin(from, part.rosterDigest(), interval);
-        Set<Integer> parts = partsTaken.computeIfAbsent(origin, key -> new HashSet<>());
+        Set<Integer> parts = receivedParts.computeIfAbsent(origin, key -> new HashSet<>());
         parts.add(part.part());
         if (parts.size() == part.parts()) {
-            partsTaken.remove(origin);
-            taken.add(new Taken(from, roster.get(), interval));
+            receivedParts.remove(origin);
+            completeHandovers.add(new CompleteHandover(from, roster.get(), interval));
         }
         forgetOldest();
     }
 
     private void forgetOldest() {
-        while (taken.size() > MOST_TAKEN) {
-            taken.removeFirst();
+        while (completeHandovers.size() > MAXIMUM_KEPT) {
+            completeHandovers.removeFirst();
         }
-        while (partsTaken.size() > MOST_TAKEN) {
-            partsTaken.remove(partsTaken.keySet().iterator().next());
+        while (receivedParts.size() > MAXIMUM_KEPT) {
+            receivedParts.remove(receivedParts.keySet().iterator().next());
         }
     }
 
-    /** The times for which former holders of a request vouched to this node. */
+    /** Returns the intervals for which former holders of a request vouched to this node. */
     List<Vouch.Interval> intervals(RequestIdentifier request) {
-        return taken.stream()
-                .filter(handover -> handover.roster.gives(request, handover.from))
+        return completeHandovers.stream()
+                .filter(handover -> handover.roster.assigns(request, handover.from))
                 .filter(handover -> successor(handover.roster, handover.from, request)
                         .filter(self::equals)
                         .isPresent())
-                .map(Taken::interval)
+                .map(CompleteHandover::interval)
                 .toList();
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/ownership/Holder.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/Holder.java
@@ -19,7 +19,7 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * A node in its part as holder: decides, alone among all nodes, whether a request that must run at most once runs now.
+ * Decides for the requests that this node holds, and that must run at most once, whether an attempt may run now.
  *
  * <p>Invariant: over all nodes of a service and all their restarts, at most one {@link #claim} of a request is answered
  * with {@link Claim.Run}, not counting claims released by {@link #notRun}. Not thread safe: one thread owns it.
@@ -35,9 +35,9 @@
     private boolean handedOver;
 
     /**
-     * Makes a holder that knows nothing yet.
+     * Creates a holder without a roster, a lease or entries.
      *
-     * @param self this node as its settings describe it
+     * @param self this node, as its settings describe it
      * @param incarnation the start time of this process in milliseconds since 1970
      * @param service the service of this node
      * @param start the moment at which the process started
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Takes a published roster in.
+     * Processes a published roster.
      *
      * @param now the moment
      * @param configuration the configuration that publishes it
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Takes the platform's list of VMs in.
+     * Processes the platform's list of VMs.
      *
      * @param now the moment
      * @param list the list
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Renews the lease if it is time.
+     * Renews the lease if that is due.
      *
      * @param now the moment
      * @return messages to send
@@ -92,7 +92,7 @@
     }
 
     /**
-     * Tells when {@link #wakeUp} is due.
+     * Returns when {@link #wakeUp} is due.
      *
      * @return a time on the monotonic clock in nanoseconds, {@link Long#MAX_VALUE} for never
      */
@@ -113,19 +113,19 @@
     }
 
     /**
-     * Takes a reply to this node's request for a lease in.
+     * Processes a reply to this node's request for a lease.
      *
      * @param now the moment
      * @param from the other node
      * @param reply its reply
-     * @return what changed
+     * @return messages to send, and log lines about changes
      */
     public List<Effect> replied(Moment now, NodeName from, LeaseReply reply) {
         return lease.replied(now, from, reply);
     }
 
     /**
-     * Finds the holder of a request under the roster in force here.
+     * Returns the holder of a request under the roster in force here.
      *
      * @param request the request
      * @return the holder, or empty before a roster is known
@@ -135,7 +135,7 @@
     }
 
     /**
-     * Tells whether this node may act as holder.
+     * Returns whether this node may act as holder.
      *
      * @param now the moment
      * @return whether it has a lease in force
@@ -147,14 +147,14 @@
     /**
      * Decides about an attempt at a request that must run at most once.
      *
-     * <p>Failure guarded against: a process is paused, another node takes over, and the paused one wakes and acts. The
-     * lease is checked against the moment after waking. What was claimed before the pause may still be handed out after
-     * it: the other node vouches only for identifiers minted after the lease ended, so it does not run this one.
+     * <p>Guards against a process that is paused, is replaced by another node as holder, and acts after it resumes: the lease
+     * is checked against the moment after it resumed. A request that was claimed before the pause may still be handed to a
+     * copy after it, since the other node vouches only for identifiers minted after the lease ended and so does not run it.
      *
      * @param now the moment, taken after the attempt was received
      * @param key the request, and when its identifier was minted
-     * @param contentHash a hash of its content, by which a reused identifier is found
-     * @return what may be done
+     * @param contentHash a hash of its content, which reveals a reused identifier
+     * @return the decision
      */
     public Claim claim(Moment now, RequestKey key, int contentHash) {
         Optional<Claim> known = table.known(key.request(), contentHash);
@@ -182,7 +182,7 @@
     }
 
     /**
-     * Releases a claim: nothing of the request was handed to a copy, and nothing will be.
+     * Releases a claim on a request that was not handed to a copy and never will be.
      *
      * @param request the request
      */
@@ -191,17 +191,17 @@
     }
 
     /**
-     * Remembers what a request came to.
+     * Records the outcome of a request.
      *
      * @param request the request
-     * @param outcome what it came to; as not run, it is released
+     * @param outcome its outcome; {@link Outcome.NotRun} releases the claim
      */
     public void finished(RequestIdentifier request, Outcome outcome) {
         table.finished(request, outcome);
     }
 
     /**
-     * Tells how many requests are remembered.
+     * Returns the number of recorded requests.
      *
      * @return the number of entries
      */
@@ -210,10 +210,10 @@
     }
 
     /**
-     * Stops claiming for good, gives the lease back and hands the table over, before a planned stop.
+     * Stops claiming permanently, releases the lease and hands the table over, before a planned stop.
      *
-     * <p>Failure guarded against: this node and its successor both act on an identifier. This node stops here, before
-     * the first message is made; a later call hands nothing over.
+     * <p>Guards against this node and its successor both acting on an identifier: this node stops before the first message
+     * is created. A later call hands nothing over.
      *
      * @param now the moment
      * @return messages to send
@@ -227,7 +227,7 @@
         List<Effect> effects = new ArrayList<>(lease.release(now));
         Optional<Roster> roster = lease.roster();
         if (roster.isPresent() && term.everHeld()) {
-            effects.addAll(handovers.give(service, roster.get(), interval(now, term), entriesHeld(roster.get())));
+            effects.addAll(handovers.handOver(service, roster.get(), interval(now, term), entriesHeld(roster.get())));
         }
         return effects;
     }
@@ -240,20 +240,20 @@
 
     private List<HolderEntry> entriesHeld(Roster roster) {
         return table.entries().stream()
-                .filter(entry -> roster.gives(entry.request(), self))
+                .filter(entry -> roster.assigns(entry.request(), self))
                 .toList();
     }
 
     /**
-     * Takes over what a leaving holder knows.
+     * Accepts a part of a leaving holder's table.
      *
      * @param now the moment
      * @param from the leaving node
-     * @param handover a part of its table
+     * @param handover the part
      */
     public void accept(Moment now, NodeName from, HolderHandover handover) {
         if (handover.service().equals(service)) {
-            handovers.take(now, from, handover, lease.roster(handover.rosterDigest()), table);
+            handovers.accept(now, from, handover, lease.roster(handover.rosterDigest()), table);
         }
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/ownership/HolderRank.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/HolderRank.java
@@ -9,8 +9,8 @@
 /**
  * Ranks the nodes of a roster for a request by rendezvous hashing (Thaler and Ravishankar, 1998).
  *
- * <p>Invariants: the same names give the same rank on every node, whatever their order; a node that leaves the roster
- * moves only the requests that it ranked first for. Stateless and thread safe.
+ * <p>Invariants: the same names give the same ranking on every node, whatever their order; when a node leaves the roster,
+ * only the requests for which it ranked first move. Stateless and thread safe.
  */
 public final class HolderRank {
 
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Finds the holder of a request.
+     * Returns the holder of a request.
      *
      * @param roster the names of the roster's nodes
      * @param request the request
@@ -53,7 +53,7 @@
         return mix(mix(hash(node.value()) ^ request.high()) ^ request.low());
     }
 
-    /** FNV-1a over the characters: fixed by its definition, so all nodes agree. */
+    /** FNV-1a over the characters: its definition is fixed, so all nodes compute the same value. */
     private static long hash(String text) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < text.length(); i++) {
@@ -62,7 +62,7 @@
         return hash;
     }
 
-    /** The finaliser of SplitMix64: each bit of the input changes each bit of the result with even chance. */
+    /** The finaliser of SplitMix64: each input bit flips each bit of the result with probability one half. */
     private static long mix(long value) {
         long first = (value ^ value >>> 30) * MULTIPLIER_1;
         long second = (first ^ first >>> 27) * MULTIPLIER_2;
--- a/policy/src/main/java/org/carawaysill/policy/ownership/HolderSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/HolderSettings.java
@@ -7,11 +7,12 @@
  *
  * <p>Invariant: the least lifetime is positive and not longer than the key lifetime. Immutable and thread safe.
  *
- * @param keyLifetime how long callers repeat a key; a key without minting time is trusted only after this long
- * @param leastLifetime an entry is never dropped sooner, even when the table is full
+ * @param keyLifetime how long callers repeat a key; a node accepts a key without minting time only after it has been
+ * holder for this long
+ * @param leastLifetime how long an entry is kept at least, even when the table is full
  * @param futureTolerance how far ahead of this node's wall clock a caller may mint its key
- * @param maximumEntries the most requests that are remembered
- * @param maximumAnswerBytes the most bytes of answers that are remembered
+ * @param maximumEntries the most requests that are recorded
+ * @param maximumAnswerBytes the most bytes of answers that are kept
  */
 public record HolderSettings(
         Duration keyLifetime,
@@ -20,7 +21,7 @@
         int maximumEntries,
         long maximumAnswerBytes) {
 
-    /** What holds unless the settings of a node say otherwise. */
+    /** The settings of a node that states none. */
     public static final HolderSettings DEFAULTS = new HolderSettings(
             Duration.ofHours(1), Duration.ofMinutes(1), Duration.ofMillis(500), 50_000, 4L * 1024 * 1024);
 
--- a/policy/src/main/java/org/carawaysill/policy/ownership/HolderTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/HolderTable.java
@@ -16,11 +16,11 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * What this node knows of requests that must run at most once.
+ * Records the requests that must run at most once and were claimed here or handed over by a leaving holder.
  *
- * <p>Invariants: an identifier that was claimed and not released is in the table, or was minted no later than the
- * forgotten time, or has no minting time and is older than the key lifetime; none of these is claimed again. Entries and
- * kept answers are bounded. Not thread safe: one thread owns it.
+ * <p>Invariants: an identifier that was claimed and not released is in the table, or was minted no later than {@link
+ * #forgottenMillis()}, or has no minting time and is older than the key lifetime; none of these is claimed again. Entries
+ * and kept answers are bounded. Not thread safe: one thread owns it.
  */
 public final class HolderTable {
 
@@ -33,7 +33,7 @@
     private long forgottenMillis = Long.MIN_VALUE;
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
      * @param settings the bounds
      */
@@ -43,17 +43,17 @@
     }
 
     /**
-     * Looks for an earlier attempt, with or without a lease.
+     * Looks up an earlier attempt; this needs no lease.
      *
      * @param request the request
      * @param contentHash a hash of its content
-     * @return what is known of it here; empty for nothing
+     * @return the decision if an earlier attempt is recorded, else empty
      */
     public Optional<Claim> known(RequestIdentifier request, int contentHash) {
-        return find(request).map(earlier -> repeat(request, earlier, contentHash));
+        return find(request).map(earlier -> decideRepeat(request, earlier, contentHash));
     }
 
-    private Claim repeat(RequestIdentifier request, HolderRecord earlier, int contentHash) {
+    private Claim decideRepeat(RequestIdentifier request, HolderRecord earlier, int contentHash) {
         if (earlier.contentHash() != contentHash) {
             return new Claim.Refused(RefusalReason.DUPLICATE, settings.keyLifetime());
         }
@@ -73,16 +73,16 @@
      * @param key the request, and when its identifier was minted
      * @param contentHash a hash of its content
      * @param vouch for which identifiers this node can vouch
-     * @return what may be done
+     * @return the decision
      */
     Claim claim(Moment now, RequestKey key, int contentHash, Vouch vouch) {
         Optional<Claim> known = known(key.request(), contentHash);
         if (known.isPresent()) {
             return known.get();
         }
-        Optional<Claim> untimely = checkMinted(now, key, vouch);
-        if (untimely.isPresent()) {
-            return untimely.get();
+        Optional<Claim> rejected = checkMintingTime(now, key, vouch);
+        if (rejected.isPresent()) {
+            return rejected.get();
         }
         if (!makeRoom(now)) {
             return new Claim.Refused(RefusalReason.HOLDER_FULL, FULL_RETRY);
@@ -92,7 +92,7 @@
     }
 
     /**
-     * Releases a claim: nothing of the request was handed to a copy, and nothing will be.
+     * Releases a claim on a request that was not handed to a copy and never will be.
      *
      * @param request the request
      */
@@ -105,10 +105,10 @@
     }
 
     /**
-     * Remembers what a request came to.
+     * Records the outcome of a request.
      *
      * @param request the request
-     * @param outcome what it came to; as not run, it is released
+     * @param outcome its outcome; {@link Outcome.NotRun} releases the claim
      */
     public void finished(RequestIdentifier request, Outcome outcome) {
         Optional<HolderRecord> running = find(request).filter(held -> !held.finished());
@@ -124,7 +124,7 @@
     }
 
     /**
-     * Tells how many requests are remembered.
+     * Returns the number of recorded requests.
      *
      * @return the number of entries
      */
@@ -132,12 +132,12 @@
         return minted.size() + unminted.size();
     }
 
-    /** Identifiers minted until this time may have been dropped, wall clock since 1970. */
+    /** Returns the time until which identifiers were minted that may have been dropped, wall clock since 1970. */
     long forgottenMillis() {
         return forgottenMillis;
     }
 
-    /** All that is known, for nodes that take over. */
+    /** Returns all entries, for handover to the successors. */
     List<HolderEntry> entries() {
         List<HolderEntry> entries = new ArrayList<>(size());
         minted.forEach((request, held) -> entries.add(entry(request, held)));
@@ -150,7 +150,7 @@
     }
 
     /**
-     * Takes over an entry of a leaving holder; one that may still be running there counts as finished without answer.
+     * Accepts an entry of a leaving holder; one that may still be running there counts as finished without an answer.
      *
      * @return whether there was room
      */
@@ -176,8 +176,8 @@
         (key.mintedMillis().isPresent() ? minted : unminted).put(key.request(), added);
     }
 
-    /** Tells why the minting time rules a run out; empty if this node can vouch that the identifier never ran. */
-    private Optional<Claim> checkMinted(Moment now, RequestKey key, Vouch vouch) {
+    /** Returns why the minting time rules out a run; empty if this node can vouch that the identifier never ran. */
+    private Optional<Claim> checkMintingTime(Moment now, RequestKey key, Vouch vouch) {
         if (!vouch.covers(now, key.mintedMillis(), settings)) {
             return Optional.of(new Claim.MayHaveRun(UnknownReason.RESTARTED));
         }
@@ -197,24 +197,25 @@
     }
 
     /**
-     * Drops what has outlived its key, and under pressure the oldest claims; tells whether there is room for one more.
+     * Drops entries older than the key lifetime and, if the table is full, the oldest claims; returns whether there is room
+     * for one more.
      *
-     * <p>Failure guarded against: a dropped identifier is claimed again. One with a minting time raises the forgotten
-     * time, up to which nothing is claimed; one without is dropped only after the key lifetime.
+     * <p>Guards against claiming a dropped identifier again: one with a minting time raises {@link #forgottenMillis()}, up
+     * to which nothing is claimed; one without is dropped only after the key lifetime.
      */
     private boolean makeRoom(Moment now) {
         long expired = now.nanos() - settings.keyLifetime().toNanos();
         drop(minted, expired, 0);
         drop(unminted, expired, 0);
-        int mostBefore = settings.maximumEntries() - 1;
-        drop(minted, now.nanos() - settings.leastLifetime().toNanos(), mostBefore);
-        return size() <= mostBefore;
+        int maximumBefore = settings.maximumEntries() - 1;
+        drop(minted, now.nanos() - settings.leastLifetime().toNanos(), maximumBefore);
+        return size() <= maximumBefore;
     }
 
-    private void drop(Map<RequestIdentifier, HolderRecord> oldestFirst, long claimedBefore, int enough) {
+    private void drop(Map<RequestIdentifier, HolderRecord> oldestFirst, long claimedBefore, int targetSize) {
         Iterator<Map.Entry<RequestIdentifier, HolderRecord>> entries =
                 oldestFirst.entrySet().iterator();
-        while (size() > enough && entries.hasNext()) {
+        while (size() > targetSize && entries.hasNext()) {
             Map.Entry<RequestIdentifier, HolderRecord> oldest = entries.next();
             if (oldest.getValue().claimedNanos() > claimedBefore) {
                 return;
--- a/policy/src/main/java/org/carawaysill/policy/ownership/KeptAnswers.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/KeptAnswers.java
@@ -8,17 +8,17 @@
 import org.carawaysill.model.request.Outcome;
 
 /**
- * The outcomes of finished requests, for callers that ask again.
+ * Caches the outcomes of finished requests for callers that repeat them.
  *
- * <p>Invariant: the bytes of all kept outcomes stay within the budget; the oldest go first. Not thread safe: one thread
- * owns it.
+ * <p>Invariant: the bytes of all kept outcomes stay within the budget; the oldest are evicted first. Not thread safe: one
+ * thread owns it.
  */
 final class KeptAnswers {
 
-    /** Objects and references of one outcome without its text, roughly. */
+    /** The approximate size of one outcome's objects and references, without its text. */
     private static final int FIXED_BYTES = 160;
 
-    private static final int LARGEST_SHARE = 8;
+    private static final int MAXIMUM_ANSWER_DIVISOR = 8;
 
     private final long budgetBytes;
     private final Map<RequestIdentifier, Outcome> outcomes = new LinkedHashMap<>();
@@ -28,10 +28,10 @@
         this.budgetBytes = budgetBytes;
     }
 
-    /** Keeps an outcome, unless it alone would take a large part of the budget. */
+    /** Keeps an outcome, unless it alone would take more than an eighth of the budget. */
     void keep(RequestIdentifier request, Outcome outcome) {
         long size = size(outcome);
-        if (size > budgetBytes / LARGEST_SHARE) {
+        if (size > budgetBytes / MAXIMUM_ANSWER_DIVISOR) {
             return;
         }
         forget(request);
--- a/policy/src/main/java/org/carawaysill/policy/ownership/KeyReader.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/KeyReader.java
@@ -10,7 +10,7 @@
 import org.carawaysill.model.identity.RequestIdentifier;
 
 /**
- * Reads idempotency keys.
+ * Parses and derives idempotency keys.
  *
  * <p>Invariant: the same text gives the same identifier on every node; two texts give the same identifier only if they
  * are the same UUID of version 7, or if 128 bits of SHA-256 collide. Stateless and thread safe.
@@ -24,7 +24,7 @@
     private KeyReader() {}
 
     /**
-     * Reads a key as a caller sent it.
+     * Parses a key as a caller sent it.
      *
      * @param text the key
      * @return the request, and the minting time for a UUID of version 7 (RFC 9562, section 5.7)
@@ -44,8 +44,9 @@
      * Derives the key of a call that a copy makes while it runs a request.
      *
      * @param parent the key of the request that it runs
-     * @param call what tells this call from the copy's other calls for the same request, the same at each repeat
-     * @return the call's request, minted when the parent was
+     * @param call a text that distinguishes this call from the copy's other calls for the same request and is the same at
+     * each repeat
+     * @return the call's key, with the minting time of the parent
      */
     public static RequestKey derive(RequestKey parent, String call) {
         return new RequestKey(digest(parent.request() + " " + call), parent.mintedMillis());
--- a/policy/src/main/java/org/carawaysill/policy/ownership/LeaseGranter.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/LeaseGranter.java
@@ -12,26 +12,26 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * One node's vote on leases.
+ * Decides this node's votes on the leases of all nodes.
  *
- * <p>Invariants: two leases that it counts as in force at the same time are of different nodes, and there is a roster
+ * <p>Invariants: two leases that it counts as in force at the same time belong to different nodes, and there is a roster
  * under which both act, so that no identifier belongs to both; it never grants under an older roster than the newest it
  * knows. Not thread safe: one thread owns it.
  */
 final class LeaseGranter {
 
-    private static final int MOST_ENDED = 64;
+    private static final int MAXIMUM_ENDED = 64;
 
     private final LeaseSettings settings;
     private final RosterHistory history;
     private final Map<NodeName, Grant> inForce = new HashMap<>();
     private final List<Grant> ended = new ArrayList<>();
-    private long blindBeforeNanos;
+    private long unknownBeforeNanos;
 
-    /** A process that asks for leases: one start of one member. */
+    /** A process that requests leases: one incarnation of one member. */
     private record Actor(RosterMember member, long incarnation) {}
 
-    /** The digests of the rosters that all must give an identifier to the actor; 0 for no previous one. */
+    /** The digests of the rosters that must all assign an identifier to the actor; 0 if there is no previous one. */
     private record Scope(long digest, long previous) {
 
         boolean has(long wanted) {
@@ -45,14 +45,14 @@
 
     private record Grant(Actor actor, Scope scope, long untilNanos) {
 
-        /** Whether an identifier may belong to both, were both in force. */
+        /** Returns whether an identifier could belong to both if both were in force. */
         boolean excludes(Actor other, Scope wanted) {
             boolean sameName = actor.member.node().equals(other.member.node());
             return !actor.equals(other) && (sameName || !scope.shares(wanted));
         }
     }
 
-    /** The vote, and for how long no lease in force has excluded it. */
+    /** The vote, and for how long no lease in force has excluded the requested one. */
     record Decision(LeaseVerdict verdict, long freeNanos, long freeForUnmovedNanos) {
 
         static Decision refused(LeaseVerdict verdict) {
@@ -61,15 +61,15 @@
     }
 
     /**
-     * Starts without memory.
+     * Starts without known grants.
      *
-     * <p>Failure guarded against: this node's former process granted a lease just before it ended, and this one grants
-     * another over it. Until the former's last grant has run out, nothing is granted.
+     * <p>Guards against granting a lease that conflicts with one that this node's previous process granted just before it
+     * ended: nothing is granted until the last grant of that process must have expired.
      */
     LeaseGranter(LeaseSettings settings, RosterHistory history, long startNanos) {
         this.settings = settings;
         this.history = history;
-        this.blindBeforeNanos = startNanos + settings.grantLength().toNanos();
+        this.unknownBeforeNanos = startNanos + settings.grantLength().toNanos();
     }
 
     Decision decide(Moment now, LeaseRequest request, boolean recovering) {
@@ -86,7 +86,7 @@
             return Decision.refused(LeaseVerdict.CLOCKS_APART);
         }
         boolean member = history.current().orElseThrow().members().contains(request.requester());
-        if (recovering || !member || now.nanos() < blindBeforeNanos) {
+        if (recovering || !member || now.nanos() < unknownBeforeNanos) {
             return Decision.refused(LeaseVerdict.REFUSED);
         }
         return grant(now.nanos(), actor, request);
@@ -96,12 +96,13 @@
         Scope full = new Scope(request.rosterDigest(), 0);
         Scope unmoved = new Scope(request.rosterDigest(), request.previousDigest());
         if (!excluded(actor, full)) {
-            note(now, actor, full);
-            return new Decision(LeaseVerdict.GRANTED, free(now, actor, full), free(now, actor, unmoved));
+            recordGrant(now, actor, full);
+            return new Decision(
+                    LeaseVerdict.GRANTED, freeForNanos(now, actor, full), freeForNanos(now, actor, unmoved));
         }
         if (!excluded(actor, unmoved)) {
-            note(now, actor, unmoved);
-            return new Decision(LeaseVerdict.GRANTED_FOR_UNMOVED, 0, free(now, actor, unmoved));
+            recordGrant(now, actor, unmoved);
+            return new Decision(LeaseVerdict.GRANTED_FOR_UNMOVED, 0, freeForNanos(now, actor, unmoved));
         }
         return Decision.refused(LeaseVerdict.REFUSED);
     }
@@ -111,25 +112,26 @@
     }
 
     /**
-     * Counts a lease. A grant for more work under the same roster stays what it is, since the actor may still act under
-     * it; one under an older roster has ended, since the actor moved on before it asked for this one.
+     * Records a lease. A grant of wider scope under the same roster keeps its scope, since the actor may still act under
+     * it; one under an older roster has ended, since the actor changed to the new roster before it requested this lease.
      */
-    private void note(long now, Actor actor, Scope scope) {
+    private void recordGrant(long now, Actor actor, Scope scope) {
         Grant before = inForce.get(actor.member.node());
         boolean keepsWider = before != null && before.scope.equals(new Scope(scope.digest, 0));
         if (before != null && !keepsWider && !before.scope.equals(scope)) {
-            remember(new Grant(actor, before.scope, now));
+            recordEnded(new Grant(actor, before.scope, now));
         }
         long until = now + settings.grantLength().toNanos();
         inForce.put(actor.member.node(), new Grant(actor, keepsWider ? before.scope : scope, until));
     }
 
     /**
-     * Tells how long ago the last lease ended that excludes this one. The asker may vouch from then on: whoever acted on
-     * its identifiers before did so under a lease that a majority granted, one of whom answers this.
+     * Returns how long ago the last lease ended that excludes this one. The requester may vouch from then on: whoever acted
+     * on its identifiers before did so under a lease that a majority granted, and a member of that majority also answers
+     * this request.
      */
-    private long free(long now, Actor actor, Scope scope) {
-        long last = blindBeforeNanos;
+    private long freeForNanos(long now, Actor actor, Scope scope) {
+        long last = unknownBeforeNanos;
         for (Grant grant : ended) {
             if (grant.excludes(actor, scope)) {
                 last = Math.max(last, grant.untilNanos);
@@ -142,7 +144,7 @@
         Grant grant = inForce.get(actor.member.node());
         if (grant != null && grant.actor.equals(actor)) {
             inForce.remove(actor.member.node());
-            remember(new Grant(actor, grant.scope, now));
+            recordEnded(new Grant(actor, grant.scope, now));
         }
     }
 
@@ -152,17 +154,17 @@
             Grant grant = grants.next();
             if (grant.untilNanos <= now) {
                 grants.remove();
-                remember(grant);
+                recordEnded(grant);
             }
         }
     }
 
-    /** Keeps the last grant of each actor and scope; what is forgotten counts as if it had excluded everything. */
-    private void remember(Grant grant) {
+    /** Keeps the last grant of each actor and scope; a dropped one counts as if it had excluded every other lease. */
+    private void recordEnded(Grant grant) {
         ended.removeIf(old -> old.actor.equals(grant.actor) && old.scope.equals(grant.scope));
         ended.add(grant);
-        if (ended.size() > MOST_ENDED) {
-            blindBeforeNanos = Math.max(blindBeforeNanos, ended.removeFirst().untilNanos);
+        if (ended.size() > MAXIMUM_ENDED) {
+            unknownBeforeNanos = Math.max(unknownBeforeNanos, ended.removeFirst().untilNanos);
         }
     }
 
@@ -179,7 +181,7 @@
                 .orElse(true);
     }
 
-    /** One-way comparison: a message can make the sender's clock look late by its travel, never early. */
+    /** Compares one way: the transit time of the message can make the sender's clock look late, but never early. */
     private boolean clocksApart(Moment now, LeaseRequest request) {
         long apart = Math.abs(now.epochMillis() - request.wallMillis());
         return apart > settings.clockMargin().toMillis() / 2;
--- a/policy/src/main/java/org/carawaysill/policy/ownership/LeaseSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/LeaseSettings.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * The times of roster leases; the same on all nodes of a service.
+ * Durations and clock margins of roster leases; the same on all nodes of a service.
  *
  * <p>Invariant: the drift margin is shorter than the renewal interval, and that is shorter than the lease. Immutable and
  * thread safe.
@@ -11,9 +11,10 @@
  * @param duration how long a lease lasts
  * @param renewalInterval how often it is renewed
  * @param driftMargin by how much two monotonic clocks may drift apart over one lease
- * @param clockMargin by how much two wall clocks may differ; nodes that see more refuse each other's leases
+ * @param clockMargin by how much two wall clocks may differ; nodes that see more than half of it refuse each other's
+ * leases
  * @param longestDeadline the longest deadline of any request
- * @param vmListLag the most by which the platform's list of VMs lags
+ * @param vmListLag the longest lag of the platform's list of VMs
  */
 public record LeaseSettings(
         Duration duration,
@@ -23,7 +24,7 @@
         Duration longestDeadline,
         Duration vmListLag) {
 
-    /** What holds unless the settings of a node say otherwise. */
+    /** The settings of a node that states none. */
     public static final LeaseSettings DEFAULTS = new LeaseSettings(
             Duration.ofSeconds(3),
             Duration.ofSeconds(1),
@@ -42,30 +43,31 @@
     }
 
     /**
-     * Tells for how long a granter counts a lease that it granted, by its own clock.
+     * Returns for how long a granter counts a lease that it granted as in force, by its own clock.
      *
-     * @return the lease and the margin by which the holder's clock may be slower
+     * @return the duration of the lease plus the margin by which the holder's clock may be slower
      */
     public Duration grantLength() {
         return duration.plus(driftMargin);
     }
 
     /**
-     * Tells for how long a VM must have been absent from the list before it counts as gone.
+     * Returns for how long a VM must have been absent from the list before it counts as gone.
      *
-     * @return the time within which all that the VM granted has run out, and the list has caught up
+     * @return the time within which every lease that the VM granted has expired, every request has met its deadline, and
+     * the list is up to date
      */
     public Duration goneAfter() {
         return grantLength().plus(longestDeadline).plus(vmListLag);
     }
 
     /**
-     * Shortens a measured time by as much as the clock that measured it may have been fast.
+     * Reduces a measured time by as much as the clock that measured it may run fast.
      *
      * @param nanos a time that another node measured
-     * @return the least time that passed here meanwhile
+     * @return the least time that elapsed on this node's clock meanwhile
      */
-    long leastElapsed(long nanos) {
+    long minimumElapsed(long nanos) {
         return nanos - (long) (nanos * ((double) driftMargin.toNanos() / duration.toNanos()));
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/ownership/LeaseTerm.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/LeaseTerm.java
@@ -3,17 +3,17 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * The time over which this node alone acted on some identifiers: from when it can vouch, and until when the lease lasts.
+ * The period in which only this node acts on some identifiers: since when it can vouch for them, and when its lease ends.
  *
  * <p>Immutable and thread safe.
  *
- * @param sinceNanos every run after this was this node's own and is in its table
- * @param sinceMillis the same on the wall clock as it stood when the lease began, since 1970
+ * @param sinceNanos every run after this time was started by this node and is in its table
+ * @param sinceMillis the same time on the wall clock as read when the lease began, since 1970
  * @param untilNanos the end of the lease
  */
 record LeaseTerm(long sinceNanos, long sinceMillis, long untilNanos) {
 
-    /** No lease was ever held. */
+    /** The term of a node that never held a lease. */
     static final LeaseTerm NEVER = new LeaseTerm(Long.MAX_VALUE, Long.MAX_VALUE, Long.MIN_VALUE);
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Tells whether a lease granted now goes on with this one: it is still held, or no other lease was in force in the
+     * Returns whether a lease granted now continues this one: this one is still held, or no other lease was in force in the
      * gap.
      */
     boolean continues(long now, long freeFromNanos) {
@@ -42,7 +42,7 @@
         return new LeaseTerm(sinceNanos, sinceMillis, Math.max(untilNanos, newUntilNanos));
     }
 
-    /** The beginning on the wall clock; a clock set back meanwhile doesn't make it earlier. */
+    /** Returns the beginning on the wall clock; setting the clock back meanwhile does not make it earlier. */
     long sinceMillis(Moment now) {
         return Math.max(sinceMillis, wallMillis(now, sinceNanos));
     }
--- a/policy/src/main/java/org/carawaysill/policy/ownership/LeaseTerms.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/LeaseTerms.java
@@ -9,11 +9,11 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * What this node's lease covers while rosters change: all that the newest roster gives it, or at first only what the
- * roster under which it acted before gave it too.
+ * Tracks what this node's lease covers while rosters change: all requests that the newest roster assigns to it, or at
+ * first only the unmoved ones, which the roster under which it acted before assigned to it too.
  *
- * <p>Invariant: work that did not move goes on through a change of the roster, since no other node gets it; work that
- * moved waits until the leases under the older rosters have run out. Not thread safe: one thread owns it.
+ * <p>Invariant: unmoved requests continue through a change of the roster, since no other node gets them; moved ones wait
+ * until the leases under the older rosters have expired. Not thread safe: one thread owns it.
  */
 final class LeaseTerms {
 
@@ -29,17 +29,17 @@
         this.votes = votes;
     }
 
-    /** The last roster before the newest one under which this node held the full lease. */
+    /** Returns the last roster before the newest one under which this node held the full lease. */
     Optional<Roster> previous() {
         return previous;
     }
 
-    /** The lease for all that the newest roster gives this node, in force or not. */
+    /** Returns the lease for all requests that the newest roster assigns to this node, in force or not. */
     LeaseTerm full() {
         return full;
     }
 
-    /** Goes over to the newest roster; tells whether it has other members. */
+    /** Changes to the newest roster; returns whether it has other members. */
     boolean adopt() {
         Roster next = history.current().orElse(null);
         boolean same = next == null || newest.filter(next::sameMembers).isPresent();
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Counts the votes again. */
+    /** Recomputes the lease from the votes. */
     void evaluate(Moment now) {
         if (newest.isEmpty() || newest.get().last() < history.closedBelow()) {
             return;
@@ -74,7 +74,10 @@
         evaluateFull(now);
     }
 
-    /** A majority of the previous roster must agree even if others say it is closed: only it knows who acted since. */
+    /**
+     * Extends the lease for unmoved requests. A majority of the previous roster must agree even if other nodes report it
+     * as closed: only that majority knows who acted since.
+     */
     private void evaluateUnmoved(long now) {
         List<Roster> rosters =
                 Stream.concat(history.all().stream(), previous.stream()).toList();
@@ -85,8 +88,9 @@
     }
 
     /**
-     * Failure guarded against: an older roster that this node never asked, since others closed it, had leases until then;
-     * no granter of the newest roster need know of them. So the time vouched for begins at the closing at the earliest.
+     * Extends or begins the lease for all requests. An older roster that this node never queried, since others closed it,
+     * may have had leases until then that no granter of the newest roster knows of. So the vouched time begins no earlier
+     * than the closing.
      */
     private void evaluateFull(Moment now) {
         long until = votes.untilNanos(history.all(), Extent.ALL);
@@ -103,12 +107,13 @@
         history.close(newest.orElseThrow().first(), now.nanos());
     }
 
-    /** Since when this node can vouch for a request, if it may act on it now. */
+    /** Returns the term under which this node may act on a request now, or empty if it may not. */
     Optional<LeaseTerm> term(long now, RequestIdentifier request, NodeName self) {
-        if (newest.filter(roster -> roster.gives(request, self)).isEmpty()) {
+        if (newest.filter(roster -> roster.assigns(request, self)).isEmpty()) {
             return Optional.empty();
         }
-        boolean stayed = previous.filter(roster -> roster.gives(request, self)).isPresent();
+        boolean stayed =
+                previous.filter(roster -> roster.assigns(request, self)).isPresent();
         boolean earlier = unmoved.sinceNanos() < full.sinceNanos();
         if (stayed && unmoved.held(now) && (earlier || !full.held(now))) {
             return Optional.of(unmoved);
--- a/policy/src/main/java/org/carawaysill/policy/ownership/LeaseVotes.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/LeaseVotes.java
@@ -7,11 +7,12 @@
 import org.carawaysill.policy.message.PeerMessage.RosterMember;
 
 /**
- * The votes that this node got for its lease under one roster, and what majorities of them amount to.
+ * Collects the votes on this node's lease under one roster, and evaluates what majorities of them grant.
  *
  * <p>Invariants: a lease counts from before its request was sent, so it ends here before it ends at any granter. A member
- * that is gone for good votes for nobody, since it would vote for both of two that exclude each other. Where a majority
- * is gone, the votes of all that live suffice: the others can't act any more. Not thread safe: one thread owns it.
+ * that is permanently gone has no vote, since counting it as an assent would let two leases that exclude each other both
+ * have it. Where a majority is gone, the votes of all live members suffice: the others can't act any more. Not thread
+ * safe: one thread owns it.
  */
 final class LeaseVotes {
 
@@ -19,11 +20,11 @@
     private final VmAbsence absence;
     private final Map<RosterMember, Vote> votes = new HashMap<>();
 
-    /** How much work a lease covers. */
+    /** Which requests a lease covers. */
     enum Extent {
-        /** All that the roster gives this node. */
+        /** All requests that the roster assigns to this node. */
         ALL,
-        /** What both the roster and this node's previous one give it. */
+        /** The requests that both the roster and this node's previous one assign to it. */
         UNMOVED
     }
 
@@ -32,8 +33,8 @@
      *
      * @param sentNanos when the request was sent
      * @param verdict what was granted
-     * @param freeFromNanos since when no lease excluded it, at the granter
-     * @param unmovedFromNanos the same for unmoved work
+     * @param freeFromNanos since when the granter knows of no lease that excludes this one
+     * @param unmovedFromNanos the same for a lease for unmoved requests only
      */
     record Vote(long sentNanos, LeaseVerdict verdict, long freeFromNanos, long unmovedFromNanos) {
 
@@ -56,12 +57,12 @@
         votes.clear();
     }
 
-    /** Keeps the vote on the latest request; replies may come in any order. */
+    /** Keeps the vote on the latest request; replies may arrive in any order. */
     void add(RosterMember granter, Vote vote) {
         votes.merge(granter, vote, (old, next) -> next.sentNanos >= old.sentNanos ? next : old);
     }
 
-    /** Tells until when a majority of each roster grants the lease, {@link Long#MIN_VALUE} where one does not. */
+    /** Returns until when a majority of each roster grants the lease, about {@link Long#MIN_VALUE} if one does not. */
     long untilNanos(List<Roster> rosters, Extent extent) {
         return rosters.stream()
                 .mapToLong(roster -> untilNanos(roster, extent))
@@ -70,8 +71,8 @@
     }
 
     /**
-     * Tells the last time at which, for all that a majority of each roster knows, another lease excluded this one;
-     * {@link Long#MAX_VALUE} where there is no majority.
+     * Returns the last time at which another lease may have excluded this one, as far as a majority of each roster knows;
+     * {@link Long#MAX_VALUE} if there is no majority.
      */
     long freeFromNanos(long now, List<Roster> rosters, Extent extent) {
         return rosters.stream()
@@ -80,32 +81,35 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** The end that a majority's votes reach, or those of all that live. */
+    /** Returns until when a majority of the members grants the lease, or all live ones if fewer are left. */
     private long untilNanos(Roster roster, Extent extent) {
-        long[] falling = roster.members().stream()
+        long[] negatedEnds = roster.members().stream()
                 .filter(member -> !absence.gone(member))
                 .mapToLong(member -> -endOf(member, extent))
                 .sorted()
                 .toArray();
-        int enough = Math.min(falling.length, majority(roster));
-        return enough == 0 ? Long.MAX_VALUE : -falling[enough - 1];
+        int enough = Math.min(negatedEnds.length, majority(roster));
+        return enough == 0 ? Long.MAX_VALUE : -negatedEnds[enough - 1];
     }
 
-    /** The earliest time after which a majority, or all that live, knew of no other lease and the gone had none. */
+    /**
+     * Returns the earliest time after which a majority knew of no other lease; if fewer are live, all live members knew of
+     * none and the gone ones could hold none.
+     */
     private long freeFromNanos(long now, Roster roster, Extent extent) {
-        long[] rising = roster.members().stream()
+        long[] freeFromTimes = roster.members().stream()
                 .filter(member -> !absence.gone(member))
                 .mapToLong(member -> freeFrom(now, member, extent))
                 .sorted()
                 .toArray();
-        if (rising.length >= majority(roster)) {
-            return rising[majority(roster) - 1];
+        if (freeFromTimes.length >= majority(roster)) {
+            return freeFromTimes[majority(roster) - 1];
         }
-        long lastOfLiving = rising.length == 0 ? Long.MIN_VALUE : rising[rising.length - 1];
-        return Math.max(lastOfLiving, lastOfGone(roster));
+        long lastOfLiving = freeFromTimes.length == 0 ? Long.MIN_VALUE : freeFromTimes[freeFromTimes.length - 1];
+        return Math.max(lastOfLiving, lastActOfGone(roster));
     }
 
-    private long lastOfGone(Roster roster) {
+    private long lastActOfGone(Roster roster) {
         return roster.members().stream()
                 .filter(absence::gone)
                 .mapToLong(absence::absentSinceNanos)
--- a/policy/src/main/java/org/carawaysill/policy/ownership/Recovery.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/Recovery.java
@@ -7,40 +7,41 @@
 import org.carawaysill.policy.message.PeerMessage.RosterMember;
 
 /**
- * Whether this process has made up for what its predecessor on this VM forgot.
+ * Tracks whether this process has recovered the rosters that the previous process on this VM knew.
  *
- * <p>Failure guarded against: a node promises a newer roster, restarts with empty memory and an old document, and then
- * helps a holder under the old roster, beside the holder under the new one; the same identifier runs twice. A restarted
- * node therefore grants nothing until a majority of each roster that it knows, not counting others that restarted,
- * told it the rosters that they know; one of them remembers each promise that a majority made. Where so many restarted
- * that no such majority is left, all members must have been heard, except fewer than a majority that are gone for good: what
- * none of them remembers is not remembered anywhere. (The recovery of Viewstamped Replication, Liskov and Cowling, 2012.)
+ * <p>Guards against a node that grants leases under a newer roster, restarts with empty memory and an old document, and
+ * then grants to a holder under the old roster beside the holder under the new one, so that the same identifier runs
+ * twice. A restarted node therefore grants nothing until a majority of each roster that it knows, not counting members
+ * that are recovering themselves, has sent the rosters that they know; each grant of a majority is known to one of them.
+ * If too many members restarted for such a majority, every member must have replied, except those that are permanently
+ * gone: what none of the members knows is known nowhere. This is the recovery of Viewstamped Replication (Liskov and
+ * Cowling, 2012).
  *
  * <p>Not thread safe: one thread owns it.
  */
 final class Recovery {
 
-    private final Set<RosterMember> heard = new HashSet<>();
-    private final Set<RosterMember> remembering = new HashSet<>();
+    private final Set<RosterMember> replied = new HashSet<>();
+    private final Set<RosterMember> recoveredMembers = new HashSet<>();
     private boolean pending = true;
 
     Recovery(RosterMember self) {
-        heard.add(self);
+        replied.add(self);
     }
 
     boolean pending() {
         return pending;
     }
 
-    void heard(RosterMember member, boolean recovering) {
+    void replied(RosterMember member, boolean recovering) {
         if (!pending) {
             return;
         }
-        heard.add(member);
+        replied.add(member);
         if (recovering) {
-            remembering.remove(member);
+            recoveredMembers.remove(member);
         } else {
-            remembering.add(member);
+            recoveredMembers.add(member);
         }
     }
 
@@ -50,8 +51,9 @@
 
     private boolean recovered(Roster roster, Predicate<RosterMember> gone) {
         List<RosterMember> members = roster.members();
-        long remember = members.stream().filter(remembering::contains).count();
-        boolean allHeard = members.stream().allMatch(member -> heard.contains(member) || gone.test(member));
-        return remember > members.size() / 2 || allHeard;
+        long recoveredCount =
+                members.stream().filter(recoveredMembers::contains).count();
+        boolean allReplied = members.stream().allMatch(member -> replied.contains(member) || gone.test(member));
+        return recoveredCount > members.size() / 2 || allReplied;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/ownership/RequestKey.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/RequestKey.java
@@ -4,11 +4,11 @@
 import org.carawaysill.model.identity.RequestIdentifier;
 
 /**
- * What a caller's idempotency key says.
+ * The content of a caller's idempotency key.
  *
  * <p>Immutable and thread safe.
  *
  * @param request the request that it identifies
- * @param mintedMillis when the key was minted, if it says so, wall clock since 1970
+ * @param mintedMillis when the key was minted, if the key tells, wall clock since 1970
  */
 public record RequestKey(RequestIdentifier request, OptionalLong mintedMillis) {}
--- a/policy/src/main/java/org/carawaysill/policy/ownership/Roster.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/Roster.java
@@ -14,10 +14,10 @@
 import org.carawaysill.policy.message.PeerMessage.RosterView;
 
 /**
- * A published set of members, and the first and the last version known to have published it without another in between.
+ * A published set of members, with the first and the last version known to have published it without another set between.
  *
- * <p>Invariants: members are ordered by name; equal sets have equal digests on all nodes. Configurations that change
- * something else keep the set and so the leases under it. Immutable and thread safe.
+ * <p>Invariants: members are ordered by name; equal sets have equal digests on all nodes. A configuration that changes
+ * only other things keeps the set and so the leases under it. Immutable and thread safe.
  *
  * @param first the first version known to have published the set
  * @param last the last one
@@ -45,7 +45,7 @@
         return new Roster(view.version(), view.version(), ordered, digest(ordered));
     }
 
-    /** As sent to others: they learn of later versions with the same members from the version asked for. */
+    /** Returns the form sent to peers, which learn later versions with the same members from the version of the request. */
     RosterView view() {
         return new RosterView(first, members);
     }
@@ -62,7 +62,7 @@
         return HolderRank.holder(names(), request);
     }
 
-    boolean gives(RequestIdentifier request, NodeName node) {
+    boolean assigns(RequestIdentifier request, NodeName node) {
         return holder(request).filter(node::equals).isPresent();
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/ownership/RosterHistory.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/RosterHistory.java
@@ -7,14 +7,14 @@
 import org.carawaysill.policy.message.PeerMessage.RosterView;
 
 /**
- * The rosters under which some node may still act: the newest known one, and older ones until they are closed.
+ * Keeps the rosters under which a node may still act: the newest known one, and older ones until they are closed.
  *
- * <p>A node may have skipped versions or never have seen an older roster, so each tells the others all that it knows;
- * a new roster is used only after a majority of every known older one agreed. The scheme is that of the configuration
- * maps of RAMBO (Lynch and Shvartsman, 2002), with versions ordered by the platform instead of by consensus.
+ * <p>A node may have skipped versions or never have seen an older roster, so each node sends the others all rosters that
+ * it knows; a new roster is used only after a majority of every known older one agreed. The scheme follows the
+ * configuration maps of RAMBO (Lynch and Shvartsman, 2002), with versions ordered by the platform instead of by consensus.
  *
- * <p>Invariants: ordered by version, neighbours have different members, the newest is never dropped, and what is closed
- * stays closed. Not thread safe: one thread owns it.
+ * <p>Invariants: rosters are ordered by version, neighbours have different members, the newest is never dropped, and a
+ * closed roster stays closed. Not thread safe: one thread owns it.
  */
 final class RosterHistory {
 
@@ -30,7 +30,7 @@
         return List.copyOf(rosters);
     }
 
-    /** Whether an older roster may still give leases. */
+    /** Returns whether leases may still be in force under an older roster. */
     boolean inTransition() {
         return rosters.size() > 1;
     }
@@ -51,7 +51,7 @@
         return closedBelow;
     }
 
-    /** The latest time at which the last closing happened, {@link Long#MIN_VALUE} for never. */
+    /** Returns the latest possible time of the last closing, {@link Long#MIN_VALUE} for never. */
     long closedAtNanos() {
         return closedAtNanos;
     }
@@ -60,7 +60,7 @@
         return closedBelow == 0 ? 0 : now - closedAtNanos;
     }
 
-    /** Notes that the newest members were published again in a later version. */
+    /** Records that the newest members were published again in a later version. */
     void extend(long version) {
         Roster newest = rosters.removeLast();
         rosters.add(newest.between(newest.first(), Math.max(newest.last(), version)));
@@ -75,7 +75,7 @@
             return;
         }
         int before = lastStartedBy(seen.first());
-        if (before >= 0 && covers(rosters.get(before), seen)) {
+        if (before >= 0 && contains(rosters.get(before), seen)) {
             return;
         }
         if (before >= 0 && seen.first() <= rosters.get(before).last()) {
@@ -86,7 +86,7 @@
         joinNeighbours();
     }
 
-    /** Notes that rosters of lower versions can give no lease any more since a time. */
+    /** Records that no lease can be granted under rosters of lower versions since a time. */
     void close(long version, long atNanos) {
         if (version <= closedBelow) {
             return;
@@ -105,14 +105,14 @@
         return found;
     }
 
-    /** Two documents with one version number can't be; the first one seen stands. */
-    private static boolean covers(Roster known, Roster seen) {
+    /** Returns whether a roster adds nothing. Two documents with one version are not expected; the first one seen counts. */
+    private static boolean contains(Roster known, Roster seen) {
         boolean within = seen.last() <= known.last();
         boolean sameVersion = seen.first() == known.first() || seen.first() == known.last();
         return within && (known.sameMembers(seen) || sameVersion);
     }
 
-    /** Other members were published in between: the known roster stood before and again after. */
+    /** Splits a known roster in two around one that was published within its range of versions. */
     private void split(int index, Roster seen) {
         Roster known = rosters.remove(index);
         rosters.add(index, known.between(known.last(), known.last()));
--- a/policy/src/main/java/org/carawaysill/policy/ownership/RosterLease.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/RosterLease.java
@@ -23,20 +23,20 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * The lease under which this node may act as holder, and its vote on the leases of others.
+ * Maintains the lease under which this node may act as holder, and votes on the leases of others.
  *
- * <p>Failure guarded against: two nodes that know different rosters, or two processes of one name, both act on one
- * identifier, and it runs twice. Each acts only while a majority of the members of its roster, and of every older roster
- * that is not closed, grants it; two majorities of one roster share a member, and no member grants two leases that
- * exclude each other.
+ * <p>Guards against two nodes that know different rosters, or two processes of one name, both acting on one identifier,
+ * so that it runs twice. Each acts only while a majority of the members of its roster, and of every older roster that is
+ * not closed, grants it a lease; two majorities of one roster share a member, and no member grants two leases that exclude
+ * each other.
  *
- * <p>Invariant: at any time at most one process acts on an identifier. Each moment must be taken after the event was
- * received, else a pause in between would let a grant end too early. Not thread safe: one thread owns it.
+ * <p>Invariant: at any time at most one process acts on an identifier. Each moment must be read after the event was
+ * received; otherwise a pause in between would let a grant end too early. Not thread safe: one thread owns it.
  */
 public final class RosterLease {
 
-    private static final int MOST_ROUNDS = 16;
-    private static final int IMPATIENCE = 2;
+    private static final int MAXIMUM_ROUNDS = 16;
+    private static final int RETRY_DIVISOR = 2;
 
     private final RosterMember self;
     private final long incarnation;
@@ -56,16 +56,16 @@
     private boolean released;
     private boolean reportedHeld;
 
-    /** A round of requests: when it was sent, and under which members. */
+    /** A round of lease requests: when it was sent, and the digest of the roster. */
     private record Round(long sentNanos, long digest) {}
 
     /**
-     * Makes a node without a lease.
+     * Creates a node without a lease.
      *
-     * @param self this node as its settings describe it
+     * @param self this node, as its settings describe it
      * @param incarnation the start time of this process in milliseconds since 1970
      * @param service the service of this node
-     * @param settings the times
+     * @param settings the durations and margins
      * @param start the moment at which the process started
      */
     public RosterLease(RosterMember self, long incarnation, ServiceName service, LeaseSettings settings, Moment start) {
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Takes a published roster in.
+     * Processes a published roster.
      *
      * @param now the moment
      * @param configuration the configuration that publishes it
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Takes the platform's list of VMs in.
+     * Processes the platform's list of VMs.
      *
      * @param now the moment
      * @param list the list
@@ -110,7 +110,7 @@
     }
 
     /**
-     * Renews the lease if it is time.
+     * Renews the lease if that is due.
      *
      * @param now the moment
      * @return messages to send
@@ -120,12 +120,12 @@
             return reportChange(now);
         }
         long interval = settings.renewalInterval().toNanos();
-        nextWakeNanos = now.nanos() + (held(now) ? interval : interval / IMPATIENCE);
+        nextWakeNanos = now.nanos() + (held(now) ? interval : interval / RETRY_DIVISOR);
         openRound(now);
         List<Effect> effects = new ArrayList<>();
-        for (RosterMember member : addressees(now)) {
-            boolean tellRosters = history.inTransition() || uninformed.contains(member.node());
-            effects.add(new Effect.SendToPeer(member.node(), request(now, tellRosters)));
+        for (RosterMember member : voters(now)) {
+            boolean withRosters = history.inTransition() || uninformed.contains(member.node());
+            effects.add(new Effect.SendToPeer(member.node(), request(now, withRosters)));
         }
         voteForSelf(now);
         terms.evaluate(now);
@@ -145,12 +145,12 @@
         if (!request.service().equals(service) || !request.requester().node().equals(from)) {
             return List.of();
         }
-        absence.heard(request.requester());
+        absence.receivedFrom(request.requester());
         history.learn(request.rosters());
         history.current()
                 .filter(newest -> newest.digest() == request.rosterDigest())
                 .ifPresent(newest -> history.extend(request.rosterVersion()));
-        history.close(request.closedBelow(), heardClosedAt(now, request.closedForNanos()));
+        history.close(request.closedBelow(), reportedClosedAt(now, request.closedForNanos()));
         adopt(now);
         LeaseGranter.Decision decision = granter.decide(now, request, recovery.pending());
         List<Effect> effects = new ArrayList<>();
@@ -160,7 +160,7 @@
     }
 
     /**
-     * Takes a reply in.
+     * Processes a reply to this node's request for a lease.
      *
      * @param now the moment
      * @param from the other node
@@ -171,22 +171,22 @@
         if (!reply.service().equals(service) || !reply.granter().node().equals(from)) {
             return List.of();
         }
-        absence.heard(reply.granter());
+        absence.receivedFrom(reply.granter());
         history.learn(reply.rosters());
-        history.close(reply.closedBelow(), heardClosedAt(now, reply.closedForNanos()));
+        history.close(reply.closedBelow(), reportedClosedAt(now, reply.closedForNanos()));
         adopt(now);
-        recovery.heard(reply.granter(), reply.recovering());
+        recovery.replied(reply.granter(), reply.recovering());
         recovery.check(history.all(), absence::gone);
         count(now, reply);
         terms.evaluate(now);
-        List<Effect> effects = new ArrayList<>(inform(now, from, reply));
+        List<Effect> effects = new ArrayList<>(repeatWithRosters(now, from, reply));
         effects.addAll(reportClock(from, reply));
         effects.addAll(reportChange(now));
         return effects;
     }
 
     /**
-     * Gives the lease up for good, before a planned stop.
+     * Releases the lease permanently, before a planned stop.
      *
      * @param now the moment
      * @return messages to send
@@ -194,16 +194,16 @@
     public List<Effect> release(Moment now) {
         released = true;
         sequence++;
-        LeaseRequest giveBack = request(now, sequence, 0, false);
-        granter.decide(now, giveBack, recovery.pending());
+        LeaseRequest releaseRequest = request(now, sequence, 0, false);
+        granter.decide(now, releaseRequest, recovery.pending());
         List<Effect> effects = new ArrayList<>();
-        addressees(now).forEach(member -> effects.add(new Effect.SendToPeer(member.node(), giveBack)));
+        voters(now).forEach(member -> effects.add(new Effect.SendToPeer(member.node(), releaseRequest)));
         effects.addAll(reportChange(now));
         return effects;
     }
 
     /**
-     * Tells whether the lease is in force for all that the newest roster gives this node.
+     * Returns whether the lease is in force for all requests that the newest roster assigns to this node.
      *
      * @param now the moment
      * @return whether this node may act as holder
@@ -213,7 +213,7 @@
     }
 
     /**
-     * Finds the holder of a request under the newest roster known here.
+     * Returns the holder of a request under the newest roster known here.
      *
      * @param request the request
      * @return the holder, or empty before a roster is known
@@ -223,7 +223,7 @@
     }
 
     /**
-     * Tells when {@link #wakeUp} is due.
+     * Returns when {@link #wakeUp} is due.
      *
      * @return a time on the monotonic clock in nanoseconds, {@link Long#MAX_VALUE} for never
      */
@@ -231,7 +231,7 @@
         return released || !history.names(self) ? Long.MAX_VALUE : nextWakeNanos;
     }
 
-    /** Since when this node can vouch for a request, if it may act on it now. */
+    /** Returns the term under which this node may act on a request now, or empty if it may not. */
     Optional<LeaseTerm> term(Moment now, RequestIdentifier request) {
         boolean member = history.current()
                 .filter(roster -> roster.members().contains(self))
@@ -239,7 +239,7 @@
         return released || !member ? Optional.empty() : terms.term(now.nanos(), request, self.node());
     }
 
-    /** The lease for all that the newest roster gives this node, in force or not. */
+    /** Returns the lease for all requests that the newest roster assigns to this node, in force or not. */
     LeaseTerm term() {
         return terms.full();
     }
@@ -252,8 +252,8 @@
         return history.find(digest).or(() -> terms.previous().filter(roster -> roster.digest() == digest));
     }
 
-    private long heardClosedAt(Moment now, long closedForNanos) {
-        return now.nanos() - settings.leastElapsed(closedForNanos);
+    private long reportedClosedAt(Moment now, long closedForNanos) {
+        return now.nanos() - settings.minimumElapsed(closedForNanos);
     }
 
     private void adopt(Moment now) {
@@ -267,11 +267,11 @@
         sequence++;
         long digest = history.current().orElseThrow().digest();
         rounds.put(sequence, new Round(now.nanos(), digest));
-        rounds.remove(sequence - MOST_ROUNDS);
+        rounds.remove(sequence - MAXIMUM_ROUNDS);
     }
 
-    /** Whoever must agree; members of a closed previous roster only until the full lease is held. */
-    private List<RosterMember> addressees(Moment now) {
+    /** Returns the members that must agree; those of a closed previous roster only until the full lease is held. */
+    private List<RosterMember> voters(Moment now) {
         Set<RosterMember> members = new LinkedHashSet<>();
         history.all().reversed().forEach(roster -> members.addAll(roster.members()));
         if (!held(now)) {
@@ -281,11 +281,11 @@
         return members.stream().filter(member -> names.add(member.node())).toList();
     }
 
-    private LeaseRequest request(Moment now, boolean tellRosters) {
-        return request(now, sequence, settings.duration().toNanos(), tellRosters);
+    private LeaseRequest request(Moment now, boolean withRosters) {
+        return request(now, sequence, settings.duration().toNanos(), withRosters);
     }
 
-    private LeaseRequest request(Moment now, long number, long durationNanos, boolean tellRosters) {
+    private LeaseRequest request(Moment now, long number, long durationNanos, boolean withRosters) {
         Optional<Roster> newest = history.current();
         return new LeaseRequest(
                 service,
@@ -299,7 +299,7 @@
                 terms.previous().map(Roster::digest).orElse(0L),
                 history.closedBelow(),
                 history.closedForNanos(now.nanos()),
-                tellRosters ? history.views() : List.of());
+                withRosters ? history.views() : List.of());
     }
 
     private LeaseReply reply(Moment now, LeaseRequest request, LeaseGranter.Decision decision) {
@@ -335,14 +335,14 @@
                         .filter(newest -> newest.digest() == round.digest)
                         .isPresent();
         if (granted && current) {
-            long freeFrom = now.nanos() - settings.leastElapsed(reply.freeNanos());
-            long unmovedFrom = now.nanos() - settings.leastElapsed(reply.freeForUnmovedNanos());
+            long freeFrom = now.nanos() - settings.minimumElapsed(reply.freeNanos());
+            long unmovedFrom = now.nanos() - settings.minimumElapsed(reply.freeForUnmovedNanos());
             votes.add(reply.granter(), new Vote(round.sentNanos, reply.verdict(), freeFrom, unmovedFrom));
         }
     }
 
-    /** Asks again at once where the granter lacked the members of the roster. */
-    private List<Effect> inform(Moment now, NodeName granterName, LeaseReply reply) {
+    /** Repeats the request at once, with the rosters, if the granter did not know the roster. */
+    private List<Effect> repeatWithRosters(Moment now, NodeName granterName, LeaseReply reply) {
         if (reply.verdict() != LeaseVerdict.UNKNOWN_ROSTER) {
             uninformed.remove(granterName);
             return List.of();
--- a/policy/src/main/java/org/carawaysill/policy/ownership/VmAbsence.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/VmAbsence.java
@@ -9,11 +9,12 @@
 import org.carawaysill.policy.message.PeerMessage.RosterMember;
 
 /**
- * Which members of rosters are gone for good, by the platform's list of VMs.
+ * Tracks which members of rosters are permanently gone, according to the platform's list of VMs.
  *
- * <p>Failure guarded against: a partition taken for a loss. The list comes from the platform and not from whom this node
- * can reach; only time between two reads that both lacked the VM counts, never the time in which no read came through;
- * a list that lacks this very node is not believed, nor what it says of a member that sends messages. Not thread safe: one thread owns it.
+ * <p>Guards against taking a network partition for the loss of a VM. The list comes from the platform and does not depend
+ * on which peers this node can reach. Only time between reads that all lack the VM counts, never the time after the last
+ * successful read. A list that lacks this node itself is ignored, and a message from a member cancels its absence. Not
+ * thread safe: one thread owns it.
  */
 final class VmAbsence {
 
@@ -42,8 +43,8 @@
         }
     }
 
-    /** Notes that a member lives, whatever the list says. */
-    void heard(RosterMember member) {
+    /** Records that a member is live, whatever the list says. */
+    void receivedFrom(RosterMember member) {
         absent.remove(member);
     }
 
@@ -52,12 +53,12 @@
         return span != null && span.untilNanos - span.fromNanos >= goneAfterNanos;
     }
 
-    /** When a member that is absent was first found so; it acted no later. */
+    /** Returns when an absent member was first found absent, after which it did not act. */
     long absentSinceNanos(RosterMember member) {
         return Optional.ofNullable(absent.get(member)).map(Span::fromNanos).orElse(Long.MAX_VALUE);
     }
 
-    /** A VM listed at another IP number has replaced the member under its name. */
+    /** Returns whether a member is listed; a VM of its name at another address has replaced it. */
     private static boolean listed(VmList list, RosterMember member) {
         NodeName node = member.node();
         return list.state(node).isPresent()
--- a/policy/src/main/java/org/carawaysill/policy/ownership/Vouch.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/Vouch.java
@@ -5,17 +5,17 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * For which identifiers a holder can vouch that each run of them is in its table.
+ * Determines for which identifiers a holder can vouch that every run of them is in its table.
  *
- * <p>Why the minting time tells: whoever ran an identifier before {@code sinceMillis} took it as minted no later than its
- * own wall clock and the future tolerance; its clock was at most the margin ahead of this node's. So an identifier minted
- * later than all three together was not run before. This holds whatever the caller's clock said. Immutable and thread
- * safe.
+ * <p>The minting time is evidence for this reason: a node that ran an identifier before {@code sinceMillis} accepted it as
+ * minted no later than its own wall clock plus the future tolerance, and its clock was at most the margin ahead of this
+ * node's. So an identifier minted later than the sum of all three was not run before. This holds whatever the caller's
+ * clock showed. Immutable and thread safe.
  *
  * @param sinceNanos no other node ran an identifier of this holder after this time on the monotonic clock
  * @param sinceMillis the same on this node's wall clock, since 1970
  * @param clockMarginMillis by how much the wall clocks of two nodes may differ
- * @param handedOver what leaving holders vouched for
+ * @param handedOver the intervals for which leaving holders vouched
  */
 record Vouch(long sinceNanos, long sinceMillis, long clockMarginMillis, List<Interval> handedOver) {
 
--- a/policy/src/main/java/org/carawaysill/policy/ownership/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/package-info.java
@@ -1,4 +1,4 @@
-/** Running work that is not idempotent at most once: who decides, under which lease, and what was decided before. */
+/** At-most-once execution of requests that are not idempotent: holders, their leases, and their recorded decisions. */
 @NullMarked
 package org.carawaysill.policy.ownership;
 
--- a/policy/src/test/java/org/carawaysill/policy/ownership/AtMostOncePropertiesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/ownership/AtMostOncePropertiesTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Assertions;
 
 /**
- * A caller repeats an issuance at every node while nodes are paused, killed, replaced and cut off and rosters change;
- * the issuance must not run twice, and once the faults end all must run again.
+ * Checks that a request repeated at every node runs at most once while nodes are paused, killed, replaced and partitioned
+ * and rosters change, and that every node of the roster holds its lease again after the faults end.
  */
 class AtMostOncePropertiesTest {
 
@@ -24,7 +24,7 @@
         for (int i = 0; i < FAULTY_STEPS; i++) {
             fleet.step();
         }
-        fleet.calmDown();
+        fleet.endFaults();
         Assertions.assertTrue(fleet.allHold(), () -> "no lease after the faults ended, seed " + seed);
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/ownership/OwnershipWorld.java
+++ b/policy/src/test/java/org/carawaysill/policy/ownership/OwnershipWorld.java
@@ -26,11 +26,11 @@
 import org.carawaysill.policy.message.PeerMessage.RosterMember;
 
 /**
- * Several holders on a network that loses, doubles, delays and reorders messages, in virtual time.
+ * Simulates several holders in virtual time, on a network that loses, duplicates, delays and reorders messages.
  *
- * <p>VMs can be paused, restarted with empty memory, replaced under their name and cut off; rosters reach them late or
- * never, and the list of VMs lags. A message to a name reaches every process of that name, as after a replacement.
- * Deterministic for one seed. Not thread safe.
+ * <p>VMs can be paused, restarted with empty memory, replaced under their name and partitioned; rosters reach them late or
+ * never, and the list of VMs lags. A message to a name reaches every process of that name, as can happen after a
+ * replacement. Deterministic for one seed. Not thread safe.
  */
 final class OwnershipWorld {
 
@@ -53,12 +53,12 @@
     private final LeaseSettings lease;
     private final HolderSettings table;
     private final PriorityQueue<Scheduled> queue = new PriorityQueue<>();
-    private final Set<Set<RosterMember>> cuts = new HashSet<>();
+    private final Set<Set<RosterMember>> partitions = new HashSet<>();
     private final Map<SimulatedNode, Long> wakeAt = new HashMap<>();
     private long scheduled;
     private long real;
     private double loss;
-    private double doubling;
+    private double duplication;
     private long slowestMillis = 20;
 
     private record Scheduled(long at, long order, Runnable action) implements Comparable<Scheduled> {
@@ -91,9 +91,9 @@
         return table;
     }
 
-    void network(double newLoss, double newDoubling, long newSlowestMillis) {
+    void network(double newLoss, double newDuplication, long newSlowestMillis) {
         loss = newLoss;
-        doubling = newDoubling;
+        duplication = newDuplication;
         slowestMillis = newSlowestMillis;
     }
 
@@ -105,7 +105,7 @@
         queue.add(new Scheduled(real + millis * MILLI, scheduled++, action));
     }
 
-    /** Lets time pass. */
+    /** Advances time and runs the actions that are due. */
     void run(long millis) {
         long end = real + millis * MILLI;
         while (!queue.isEmpty() && queue.peek().at <= end) {
@@ -139,7 +139,7 @@
         });
     }
 
-    /** Does something on a node's thread: now, after its pause, or never if it is down or restarted by then. */
+    /** Runs an action on a node: now, after its pause, or never if it is down or has restarted by then. */
     void at(SimulatedNode node, Runnable action) {
         long incarnation = node.incarnation();
         if (node.up() && node.paused(real)) {
@@ -162,12 +162,12 @@
         }
     }
 
-    void cut(SimulatedNode one, SimulatedNode other) {
-        cuts.add(Set.of(one.member, other.member));
+    void partition(SimulatedNode one, SimulatedNode other) {
+        partitions.add(Set.of(one.member, other.member));
     }
 
-    void heal() {
-        cuts.clear();
+    void endPartitions() {
+        partitions.clear();
     }
 
     void listVms(SimulatedNode node, List<SimulatedNode> listed) {
@@ -214,7 +214,7 @@
     private void send(SimulatedNode from, NodeName to, PeerMessage message) {
         for (SimulatedNode target : nodes) {
             if (target.member.node().equals(to) && target != from) {
-                int copies = random.nextDouble() < doubling ? 2 : 1;
+                int copies = random.nextDouble() < duplication ? 2 : 1;
                 for (int i = 0; i < copies; i++) {
                     sendOnce(from, target, message);
                 }
@@ -228,7 +228,7 @@
         }
         long delay = 1 + random.nextLong(random.nextInt(20) == 0 ? slowestMillis * 100 : slowestMillis);
         after(delay, () -> {
-            if (!cuts.contains(Set.of(from.member, target.member))) {
+            if (!partitions.contains(Set.of(from.member, target.member))) {
                 at(target, () -> receive(target, from.member.node(), message));
             }
         });
@@ -239,7 +239,7 @@
             case LeaseRequest request -> effects(node, node.holder().requested(node.now(real), from, request));
             case LeaseReply reply -> effects(node, node.holder().replied(node.now(real), from, reply));
             case HolderHandover handover -> node.holder().accept(node.now(real), from, handover);
-            default -> throw new IllegalStateException("not a message of holders: " + message);
+            default -> throw new IllegalStateException("unexpected message to a holder: " + message);
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedClients.java
+++ b/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedClients.java
@@ -13,10 +13,10 @@
 import org.carawaysill.model.request.RefusalReason;
 
 /**
- * Clients that mint identifiers by clocks of their own, repeat them at every node, and keep the record of what ran.
+ * Simulates clients that mint identifiers by their own clocks, repeat them at every node, and record what ran.
  *
- * <p>Invariants checked at each step: an identifier has at most one claim that was not released; "not run" is said only
- * of one that has none; a known answer is the one that was given. Not thread safe.
+ * <p>Checked invariants: an identifier has at most one claim that was not released; only an identifier without one is
+ * reported as not run; a known outcome is the recorded one. Not thread safe.
  */
 final class SimulatedClients {
 
@@ -46,7 +46,7 @@
         return key;
     }
 
-    /** Repeats one of the last identifiers, but none after the key lifetime, as callers promise. */
+    /** Repeats one of the last identifiers, but none after the key lifetime, as the contract requires of callers. */
     Optional<RequestKey> repeat(int last) {
         if (sent.isEmpty()) {
             return Optional.empty();
@@ -57,7 +57,7 @@
         return young ? Optional.of(old.key) : Optional.empty();
     }
 
-    /** Attempts a request at every process that can be reached, in random order and with random delays. */
+    /** Attempts a request at every process that is up, with random delays. */
     void attemptEverywhere(RequestKey key) {
         for (SimulatedNode node : world.nodes) {
             world.after(world.random.nextInt(30), () -> world.at(node, () -> attempt(node, key)));
@@ -94,7 +94,7 @@
                 }));
     }
 
-    /** Released, answered, lost, or still running for good. */
+    /** Releases or answers the request, or leaves it running forever. */
     private void end(SimulatedNode node, RequestIdentifier request, int fate) {
         if (fate == 0 && !node.drained()) {
             runs.merge(request, -1, Integer::sum);
@@ -110,9 +110,9 @@
         return runs.getOrDefault(key.request(), 0);
     }
 
-    private void check(boolean holds, String breach, RequestKey key) {
+    private void check(boolean holds, String violation, RequestKey key) {
         if (!holds) {
-            throw new AssertionError(breach + ": " + key.request() + " at " + world.real());
+            throw new AssertionError(violation + ": " + key.request() + " at " + world.real());
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedFleet.java
@@ -10,15 +10,15 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * The published rosters, the VMs and the faults of one run of the model. Each run draws how often each fault comes, so
- * that some runs have only a few kinds, again and again. Not thread safe.
+ * Simulates the published rosters, the VMs and the faults of one run. Each run draws the frequency of each fault, so that
+ * some runs have only a few kinds of faults, but many of them. Not thread safe.
  */
 final class SimulatedFleet {
 
     static final int STEP_MILLIS = 50;
 
     private static final List<String> NAMES = List.of("issuer-1", "issuer-2", "issuer-3", "issuer-4", "issuer-5");
-    private static final int CALM_STEPS = 500;
+    private static final int FAULT_FREE_STEPS = 500;
     private static final int READ_MILLIS = 3_000;
     private static final int FEW = 8;
     private static final int MANY = 150;
@@ -64,7 +64,7 @@
     void step() {
         for (Fault fault : Fault.values()) {
             if (random.nextInt(1_000) < weights.get(fault)) {
-                strike(fault, world.nodes.get(random.nextInt(world.nodes.size())));
+                inject(fault, world.nodes.get(random.nextInt(world.nodes.size())));
             }
         }
         if (random.nextInt(4) == 0) {
@@ -76,18 +76,18 @@
         listVms();
     }
 
-    private void strike(Fault fault, SimulatedNode node) {
-        Runnable blow = switch (fault) {
+    private void inject(Fault fault, SimulatedNode node) {
+        Runnable injection = switch (fault) {
             case PAUSE -> () -> node.pause(world.real() + random.nextLong(8_000_000_000L));
             case RESTART -> () -> restart(node);
-            case PARTITION -> () -> cutOff(random.nextBoolean());
+            case PARTITION -> () -> partition(random.nextBoolean());
             case SPLIT -> this::split;
-            case HEAL -> world::heal;
+            case HEAL -> world::endPartitions;
             case ROSTER -> () -> changeRoster(random.nextInt(3));
             case DRAIN -> () -> drain(node);
             case READ -> () -> world.read(node, published.getLast());
         };
-        blow.run();
+        injection.run();
     }
 
     private void restart(SimulatedNode node) {
@@ -103,23 +103,23 @@
         });
     }
 
-    /** A new roster that only its own members hear of, while they are cut off from the others. */
+    /** Publishes a new roster to its own members only, while they are partitioned from the others. */
     private void split() {
         changeRoster(1);
-        cutOff(true);
+        partition(true);
     }
 
-    /** Cuts the newest roster off from all other VMs, or any VMs from any others. */
-    private void cutOff(boolean byRoster) {
+    /** Partitions the members of the newest roster, or a random set of VMs, from all other VMs. */
+    private void partition(boolean byRoster) {
         List<SimulatedNode> side = world.nodes.stream()
                 .filter(node -> byRoster ? roster.contains(node) : random.nextBoolean())
                 .toList();
         for (SimulatedNode one : side) {
-            world.nodes.stream().filter(other -> !side.contains(other)).forEach(other -> world.cut(one, other));
+            world.nodes.stream().filter(other -> !side.contains(other)).forEach(other -> world.partition(one, other));
         }
     }
 
-    /** Publishes any other roster that keeps at least one VM of the last one. */
+    /** Publishes a random roster that keeps at least one VM of the last one. */
     private void changeRoster(int reach) {
         SimulatedNode kept = roster.get(random.nextInt(roster.size()));
         boolean onlyRemove = random.nextInt(3) == 0;
@@ -150,12 +150,12 @@
                 .findFirst();
     }
 
-    /** The platform ends a VM some time after it left the roster; until then its process goes on. */
+    /** Stops a VM some time after it left the roster; until then its process continues. */
     private void leave(SimulatedNode node) {
         world.after(random.nextInt(20_000), node::stop);
     }
 
-    /** A new VM; one that had the name before ends soon, so that the list of VMs shows the new one within its lag. */
+    /** Creates a VM; an earlier one of the same name stops soon, so that the list shows the new one within its lag. */
     private SimulatedNode replace(String name) {
         world.nodes.stream()
                 .filter(node -> node.member.node().value().equals(name))
@@ -170,7 +170,7 @@
         });
     }
 
-    /** Publishes the roster to all VMs, to its own members, or to some. */
+    /** Publishes the roster to all VMs (reach 0), to its own members (1), or to a random set (2). */
     private void publish(int reach) {
         published.add(OwnershipWorld.configuration(published.size() + 1L, roster));
         ServiceConfiguration document = published.getLast();
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Shows the VMs as they were some time ago; a name stands for its oldest VM that still runs. */
+    /** Delivers the list of VMs with a random lag; a name stands for its oldest VM that still runs or is in the roster. */
     private void listVms() {
         Map<NodeName, SimulatedNode> listed = new HashMap<>();
         world.nodes.stream()
@@ -194,9 +194,9 @@
                 () -> readers.forEach(node -> world.listVms(node, shown)));
     }
 
-    /** Ends all faults: no more partitions or pauses, and every node of the newest roster runs and has read it. */
-    void calmDown() {
-        world.heal();
+    /** Ends all faults and runs on until every node of the newest roster is up and has read it. */
+    void endFaults() {
+        world.endPartitions();
         world.network(0, 0, 5);
         world.run(8_000);
         for (SimulatedNode node : roster) {
@@ -205,7 +205,7 @@
             }
             world.read(node, published.getLast());
         }
-        for (int i = 0; i < CALM_STEPS; i++) {
+        for (int i = 0; i < FAULT_FREE_STEPS; i++) {
             world.run(STEP_MILLIS);
             listVms();
         }
--- a/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedNode.java
+++ b/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedNode.java
@@ -8,11 +8,11 @@
 import org.carawaysill.policy.message.PeerMessage.RosterMember;
 import org.carawaysill.policy.time.Moment;
 
-/** One VM of the model, its clocks, and the process that runs on it. Not thread safe. */
+/** Simulates one VM, its clocks, and the process that runs on it. Not thread safe. */
 final class SimulatedNode {
 
     private static final long EPOCH_MILLIS = 1_700_000_000_000L;
-    private static final double MOST_DRIFT = 0.01;
+    private static final double MAXIMUM_DRIFT = 0.01;
 
     final RosterMember member;
     private final double rate;
@@ -28,7 +28,7 @@
 
     SimulatedNode(RosterMember member, Random random, long clockMarginMillis) {
         this.member = member;
-        this.rate = 1 + (random.nextDouble() * 2 - 1) * MOST_DRIFT;
+        this.rate = 1 + (random.nextDouble() * 2 - 1) * MAXIMUM_DRIFT;
         this.origin = random.nextLong(1_000_000_000_000L);
         this.wallOffsetMillis = Math.round((random.nextDouble() - 0.5) * clockMarginMillis / 4);
     }
@@ -37,7 +37,7 @@
         return new Moment(origin + (long) (real * rate), EPOCH_MILLIS + real / 1_000_000 + wallOffsetMillis);
     }
 
-    /** The real time at which this node's monotonic clock shows a value. */
+    /** Returns the real time at which this node's monotonic clock shows a value. */
     long real(long nanos) {
         return nanos == Long.MAX_VALUE ? Long.MAX_VALUE : (long) ((nanos - origin) / rate) + 1;
     }
--- a/policy/src/test/java/org/carawaysill/policy/ownership/package-info.java
+++ b/policy/src/test/java/org/carawaysill/policy/ownership/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of running work at most once, and a small model of several holders under faults. */
+/** Tests of at-most-once execution, and a simulation of several holders under faults. */
 @NullMarked
 package org.carawaysill.policy.ownership;
 
