--- a/policy/src/main/java/org/carawaysill/policy/admission/CopyAdmission.java
+++ b/policy/src/main/java/org/carawaysill/policy/admission/CopyAdmission.java
@@ -16,7 +16,7 @@
  * knowledge of the copy comes from this node's own observations; the copy's health and load endpoints are not queried.
  *
  * <p>Invariants: whenever a request starts, at most as many are in flight as the limit; the limit is between 1 and the
- * slots; when a request is refused for lack of room, no less important one keeps waiting ({@link #breaches()} counts
+ * slots; when a request is refused for lack of room, no less important one keeps waiting ({@link #refusalOrderViolations()} counts
  * violations). Not thread safe: the policy's thread owns it.
  */
 public final class CopyAdmission {
@@ -30,7 +30,7 @@
     private final ServiceRate serviceRate = new ServiceRate();
     private final PauseDetector pauses = new PauseDetector();
     private final RetryAdvice retryAdvice = new RetryAdvice();
-    private int breaches;
+    private int refusalOrderViolations;
 
     /**
      * Starts with an idle copy.
@@ -192,8 +192,8 @@
      *
      * @return the number of violations since the start; any other value than 0 is a defect
      */
-    public int breaches() {
-        return breaches;
+    public int refusalOrderViolations() {
+        return refusalOrderViolations;
     }
 
     private void advance(long now) {
@@ -267,7 +267,7 @@
     private void preemptOrRefuse(long now, Candidate candidate, RefusalReason reason, List<Verdict> verdicts) {
         if (!startByPreemption(now, candidate, verdicts)) {
             if (queue.lowestLevel() < candidate.priority().level()) {
-                breaches++;
+                refusalOrderViolations++;
             }
             verdicts.add(refuse(now, candidate, reason));
         }
--- a/policy/src/main/java/org/carawaysill/policy/engine/BaselinePolicy.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/BaselinePolicy.java
@@ -35,14 +35,14 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Plain forwarding with fixed retries at each hop: what services do without overload control. Benches compare with it;
- * nothing else uses it.
+ * Forwards requests with a fixed number of retries at each hop, as services without overload control do. Only benchmarks
+ * use it, for comparison.
  *
  * <p>Invariant: at most {@link #ATTEMPTS} attempts of one call at one hop. Not thread safe: one thread owns it.
  */
 public final class BaselinePolicy implements NodePolicy {
 
-    /** How often a hop tries a call. */
+    /** The most attempts at a call at one hop. */
     public static final int ATTEMPTS = 3;
 
     private static final long ATTEMPT_TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
@@ -67,9 +67,9 @@
     /**
      * Creates the policy of a node that has just started.
      *
-     * @param identity who the node is
+     * @param identity the identity of the node
      * @param self the node as the roster lists it
-     * @param settings the settings, of which only those of the control work count
+     * @param settings the settings, of which only those of configuration, membership and routing are used
      * @param parser the checks that a document must pass
      * @param random the source of identifiers and jitter
      * @param start the moment at which the process started
@@ -121,7 +121,7 @@
                     Event.VmListRead _,
                     Event.WakeUp _ -> {}
         }
-        passTime(now);
+        processDue(now);
         return out.drain();
     }
 
@@ -146,7 +146,7 @@
     }
 
     private void fromPeer(Moment now, Event.PeerReceived received) {
-        control.heard(now, received);
+        control.workReceived(now, received);
         NodeName from = received.from();
         switch (received.message()) {
             case PeerRequest request -> {
@@ -262,7 +262,7 @@
         }
     }
 
-    private void passTime(Moment now) {
+    private void processDue(Moment now) {
         while (!timeouts.isEmpty() && timeouts.peek().dueNanos() <= now.nanos()) {
             Optional.ofNullable(calls.get(timeouts.remove().attempt())).ifPresent(call -> timeOut(now, call));
         }
--- a/policy/src/main/java/org/carawaysill/policy/engine/CallerRequests.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/CallerRequests.java
@@ -19,9 +19,9 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Takes in callers' requests at the entry of the chain.
+ * Accepts callers' requests at the entry of the call chain.
  *
- * <p>Invariant: each request is answered, or becomes work, exactly once. Not thread safe: owned by the policy.
+ * <p>Invariant: each request is either answered or becomes work, exactly once. Not thread safe: owned by the policy.
  */
 final class CallerRequests {
 
@@ -52,7 +52,7 @@
         this.runner = runner;
     }
 
-    /** From then on new requests are refused, since callers that never stop would keep the node from ever ending. */
+    /** Refuses new requests from a time on, since callers that never stop would keep the node from stopping. */
     void refuseFrom(long nanos) {
         refuseFromNanos = nanos;
     }
@@ -60,11 +60,11 @@
     void accept(Moment now, Event.CallerRequest request) {
         WorkOrigin origin = new WorkOrigin.FromCaller(request.exchange());
         if (now.nanos() >= refuseFromNanos) {
-            refuseUnasked(now, origin, request, RefusalReason.DRAINING, DRAINING_RETRY_AFTER);
+            refuseWithoutHolder(now, origin, request, RefusalReason.DRAINING, DRAINING_RETRY_AFTER);
             return;
         }
         if (!control.readyToServe()) {
-            refuseUnasked(now, origin, request, RefusalReason.NO_CONFIGURATION, NOT_READY_RETRY_AFTER);
+            refuseWithoutHolder(now, origin, request, RefusalReason.NO_CONFIGURATION, NOT_READY_RETRY_AFTER);
             return;
         }
         Optional<Classification> classification = directory.classify(
@@ -112,7 +112,7 @@
     private void dispatch(Moment now, WorkOrigin origin, RequestFacts facts, int credits) {
         RequestIdentifier request = facts.request();
         if (facts.key().isEmpty()) {
-            // Without a key no repeat can be recognised: the work runs under this node's sole knowledge, never again.
+            // Without a key no repeat can be recognised, so only this node knows of the work and starts it only once.
             runner.start(now, new Work(facts, new RequestLedger(credits), Work.Scope.OWN_SERVICE, origin));
         } else if (facts.idempotent()) {
             clientRetries.dispatch(now, origin, facts, credits);
@@ -123,16 +123,16 @@
         }
     }
 
-    /** Whether an earlier attempt may have run is then known to the holder alone, which refuses in its own name. */
+    /** Returns whether only the holder knows if an earlier attempt may have run; the holder then refuses by itself. */
     private static boolean onlyHolderKnows(Event.CallerRequest request, RequestTerms terms) {
         return request.key().isPresent() && !terms.idempotent();
     }
 
     /**
-     * Refuses without asking the holder. Under a key an earlier attempt may have run: "not run" could be false, and a
-     * caller that trusts it would run the work twice under a new key.
+     * Refuses without asking the holder. An earlier attempt under the same key may have run: "not run" could be false, and
+     * a caller that trusts it would run the work twice under a new key.
      */
-    private void refuseUnasked(
+    private void refuseWithoutHolder(
             Moment now, WorkOrigin origin, Event.CallerRequest request, RefusalReason reason, Duration retryAfter) {
         if (request.key().isEmpty()) {
             refuse(now, origin, NO_OPERATION, reason, retryAfter);
--- a/policy/src/main/java/org/carawaysill/policy/engine/ClientLedgers.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/ClientLedgers.java
@@ -7,36 +7,36 @@
 import org.carawaysill.policy.retry.RequestLedger;
 
 /**
- * The ledgers of keyed requests at this node, kept so that a caller's repeat draws on the same one.
+ * Keeps the ledgers of requests with an idempotency key at this node, so that a caller's repeat draws on the same one.
  *
- * <p>A fresh grant for each repeat would let an impatient caller multiply the retries of one request without bound.
- * Invariant: a ledger is kept for at least {@link #MEMORY}, which exceeds every deadline, and at most twice as long. Not
- * thread safe: owned by the policy.
+ * <p>New credits for each repeat would let a caller multiply the retries of one request without bound. Invariant: a ledger
+ * is kept for at least {@link #RETENTION}, which exceeds every deadline, and at most twice as long. Not thread safe: owned by
+ * the policy.
  */
 final class ClientLedgers {
 
-    /** How long a caller's repeat finds the ledger of its request. */
-    static final Duration MEMORY = Duration.ofSeconds(60);
+    /** The least time for which a ledger is kept. */
+    static final Duration RETENTION = Duration.ofSeconds(60);
 
-    private Map<RequestIdentifier, Entry> present = new HashMap<>();
-    private Map<RequestIdentifier, Entry> before = new HashMap<>();
-    private long turnedNanos = Long.MIN_VALUE;
+    private Map<RequestIdentifier, Entry> current = new HashMap<>();
+    private Map<RequestIdentifier, Entry> previous = new HashMap<>();
+    private long rotatedNanos = Long.MIN_VALUE;
 
-    /** Finds the ledger of a request, or opens one with this node's share of the credits. */
+    /** Returns the ledger of a request, or opens one with this node's share of the credits. */
     Entry open(long now, RequestIdentifier request, int credits) {
-        turn(now);
-        Entry known = before.remove(request);
+        rotate(now);
+        Entry known = previous.remove(request);
         if (known != null) {
-            present.put(request, known);
+            current.put(request, known);
         }
-        return present.computeIfAbsent(request, key -> new Entry(new RequestLedger(credits)));
+        return current.computeIfAbsent(request, key -> new Entry(new RequestLedger(credits)));
     }
 
-    private void turn(long now) {
-        if (turnedNanos == Long.MIN_VALUE || now - turnedNanos >= MEMORY.toNanos()) {
-            before = present;
-            present = new HashMap<>();
-            turnedNanos = now;
+    private void rotate(long now) {
+        if (rotatedNanos == Long.MIN_VALUE || now - rotatedNanos >= RETENTION.toNanos()) {
+            previous = current;
+            current = new HashMap<>();
+            rotatedNanos = now;
         }
     }
 
@@ -54,7 +54,7 @@
             return ledger;
         }
 
-        /** Pays for one more arrival: the first attempt is free, each that follows one which may have run is a retry. */
+        /** Pays for one more arrival, which costs a retry if an earlier attempt here may have run and else nothing. */
         boolean pay() {
             return !mayHaveRun || ledger.spendRetry();
         }
--- a/policy/src/main/java/org/carawaysill/policy/engine/ClientRetries.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/ClientRetries.java
@@ -19,13 +19,13 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Idempotent requests that a caller may repeat at any node under the same key.
+ * Limits the attempts at idempotent requests that a caller may repeat at any node under the same key.
  *
  * <p>Two nodes may start such a request: the first-ranked for its identifier, with all credits but one, and the second,
- * which spends that one. All others pass it on. Invariant: over all nodes of one roster, attempts at the entry are at most
- * one plus the credits, also when the nodes can't reach each other, since the shares are split in advance. A repeat of
- * a request in progress waits for the same outcome and starts nothing. Keys that don't tell their minting time
- * are granted anew after a restart. Not thread safe: owned by the policy.
+ * which spends that one. All others forward it. Invariant: over all nodes of one roster, attempts at the entry are at most
+ * one plus the credits, also when the nodes can't reach each other, since the shares are split in advance. A repeat of a
+ * request in progress waits for the same outcome and starts nothing. Keys without a minting time get new credits after a
+ * restart. Not thread safe: owned by the policy.
  */
 final class ClientRetries {
 
@@ -58,31 +58,31 @@
         this.ledgers = ledgers;
     }
 
-    /** Breaks the circle between this object and the runner, which need each other. */
+    /** Sets the runner, which can't be a constructor parameter because the two objects depend on each other. */
     void runner(WorkRunner starter) {
         runner = Optional.of(starter);
     }
 
-    /** Takes in a request of a caller: starts it here, or passes it to a node that may. */
+    /** Accepts a caller's request: starts it here, or forwards it to a node that may start it. */
     void dispatch(Moment now, WorkOrigin origin, RequestFacts facts, int credits) {
         List<NodeName> ranked = ranked(facts);
         int rank = ranked.indexOf(identity.node());
         if (rank == FIRST) {
             startHere(now, origin, facts, credits);
         } else if (control.mayGetNewWork(now, ranked.getFirst())) {
-            runner.orElseThrow().start(now, passedOn(facts, credits, origin));
+            runner.orElseThrow().start(now, forwarded(facts, credits, origin));
         } else if (rank == SECOND) {
             startHere(now, origin, facts, credits);
         } else {
-            runner.orElseThrow().start(now, passedOn(facts, credits, origin));
+            runner.orElseThrow().start(now, forwarded(facts, credits, origin));
         }
     }
 
-    private static Work passedOn(RequestFacts facts, int credits, WorkOrigin origin) {
+    private static Work forwarded(RequestFacts facts, int credits, WorkOrigin origin) {
         return new Work(facts, new RequestLedger(credits), Work.Scope.AT_STARTER, origin);
     }
 
-    /** Names the node that may start a request, or nothing while neither can be reached. */
+    /** Returns the node that may start a request, or empty while neither may get new work. */
     Optional<NodeName> starter(Moment now, RequestFacts facts) {
         return ranked(facts).stream()
                 .limit(SECOND + 1L)
@@ -97,7 +97,7 @@
         return HolderRank.rank(roster, facts.request());
     }
 
-    /** Takes in a request as one of the two nodes that may start it. */
+    /** Accepts a request as one of the two nodes that may start it. */
     void startHere(Moment now, WorkOrigin origin, RequestFacts facts, int credits) {
         Work running = inProgress.get(facts.request());
         if (running != null && !running.finished()) {
@@ -105,7 +105,7 @@
             return;
         }
         int rank = ranked(facts).indexOf(identity.node());
-        int share = rank < FIRST ? 0 : CreditShares.share(credits, rank, directorySize());
+        int share = rank < FIRST ? 0 : CreditShares.share(credits, rank, rosterSize());
         ClientLedgers.Entry entry = ledgers.open(now.nanos(), facts.request(), share);
         if (rank < FIRST || rank > SECOND || mintedBeforeStart(facts) || !payForStart(rank, entry)) {
             refuse(now, origin, facts);
@@ -118,8 +118,9 @@
     }
 
     /**
-     * A node that restarted has forgotten what it granted. Granting again would exceed the bound, so a key that may be
-     * older than the process gets nothing here; its caller can mint a new one.
+     * Returns whether the key may have been minted before this process started. A restarted node no longer knows which
+     * credits it granted, and granting them again would exceed the bound, so such a key gets none here; its caller can mint a
+     * new one.
      */
     private boolean mintedBeforeStart(RequestFacts facts) {
         return facts.key()
@@ -129,12 +130,12 @@
                 .isPresent();
     }
 
-    /** The free attempt is the first-ranked node's; the second pays for each of its own. */
+    /** The first-ranked node has the free attempt; the second pays a retry for each of its attempts. */
     private static boolean payForStart(int rank, ClientLedgers.Entry entry) {
         return rank == FIRST ? entry.pay() : entry.ledger().spendRetry();
     }
 
-    private int directorySize() {
+    private int rosterSize() {
         return directory
                 .configuration(identity.service())
                 .orElseThrow()
--- a/policy/src/main/java/org/carawaysill/policy/engine/ControlPlane.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/ControlPlane.java
@@ -21,9 +21,9 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Configuration, membership and routing of one node, and what flows between them.
+ * Connects configuration, membership and routing of one node.
  *
- * <p>Invariant: routing offers only nodes that membership lets have new work. Not thread safe: owned by the policy.
+ * <p>Invariant: routing offers only nodes to which membership allows new work. Not thread safe: owned by the policy.
  */
 final class ControlPlane {
 
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Takes in an event that may concern the control work.
+     * Processes an event that may concern configuration or membership.
      *
-     * @return the documents that came into force by it
+     * @return the documents that came into force through it
      */
     List<ServiceConfiguration> handle(Moment now, Event event) {
         out.addAll(distribution.handle(now, event));
@@ -68,7 +68,7 @@
         return adopted;
     }
 
-    /** Requests and answers are far more frequent than all else and say nothing of configuration. */
+    /** Returns whether an event is a request or an answer; these are by far the most frequent and carry no configuration. */
     boolean carriesWork(Event event) {
         return switch (event) {
             case Event.CallerRequest _, Event.CopyCall _, Event.ExchangeClosed _, Event.CopyAnswered _ -> true;
@@ -92,8 +92,8 @@
                 || message instanceof PeerMessage.CancelAttempt;
     }
 
-    /** Any message shows that its sender lives. */
-    void heard(Moment now, Event.PeerReceived received) {
+    /** Reports requests and answers of a peer to membership, since any message shows that its sender is live. */
+    void workReceived(Moment now, Event.PeerReceived received) {
         if (carriesWork(received.message())) {
             out.addAll(membership.handle(now, received, heartbeatContent));
         }
@@ -119,23 +119,23 @@
     }
 
     /**
-     * Compares what membership believes now with what it believed before, and tells routing.
+     * Compares the current peer states of membership with the previous ones, and passes changes to routing.
      *
      * @return the nodes that have become suspected
      */
     List<NodeName> refreshStates(Moment now) {
-        Map<NodeName, PeerState> present = membership.states(now.nanos());
-        if (present.equals(states)) {
+        Map<NodeName, PeerState> current = membership.states(now.nanos());
+        if (current.equals(states)) {
             return List.of();
         }
-        present.forEach(
+        current.forEach(
                 (node, state) -> selector.usable(now.nanos(), node, membership.mayGetNewWork(now.nanos(), node)));
-        Map<NodeName, PeerState> before = states;
-        states = present;
-        return present.entrySet().stream()
+        Map<NodeName, PeerState> previous = states;
+        states = current;
+        return current.entrySet().stream()
                 .filter(entry -> entry.getValue() == PeerState.SUSPECTED)
                 .map(Map.Entry::getKey)
-                .filter(node -> before.get(node) != PeerState.SUSPECTED)
+                .filter(node -> previous.get(node) != PeerState.SUSPECTED)
                 .toList();
     }
 
@@ -155,7 +155,7 @@
         return membership.mayGetNewWork(now.nanos(), node);
     }
 
-    /** Whether the list of VMs says that this node is leaving, though nobody ordered it to stop. */
+    /** Returns whether the list of VMs says that this node is leaving, even without an order to stop. */
     boolean isLeaving() {
         return membership.isLeaving();
     }
--- a/policy/src/main/java/org/carawaysill/policy/engine/CopyCalls.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/CopyCalls.java
@@ -16,10 +16,10 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Takes in the local copy's own calls to deeper services.
+ * Accepts the local copy's own calls to deeper services.
  *
- * <p>A call made during a known attempt draws on that attempt's ledger, deadline and priority. Any other call, also one of
- * an attempt that has ended, has the lowest priority and no retries. Not thread safe: owned by the policy.
+ * <p>A call made during a known attempt uses that attempt's ledger, deadline and priority. Any other call, also one of an
+ * attempt that has ended, has background importance and no retries. Not thread safe: owned by the policy.
  */
 final class CopyCalls {
 
--- a/policy/src/main/java/org/carawaysill/policy/engine/EngineAssembly.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/EngineAssembly.java
@@ -19,7 +19,7 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Puts the features of one node's policy together.
+ * Creates and connects the parts of one node's policy.
  *
  * <p>Not thread safe: used once, by the thread that owns the policy.
  */
--- a/policy/src/main/java/org/carawaysill/policy/engine/EngineParts.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/EngineParts.java
@@ -8,18 +8,18 @@
  *
  * <p>The record itself is immutable; its parts are not thread safe and are owned by the policy.
  *
- * @param identity who this node is
- * @param out where effects go
+ * @param identity the identity of this node
+ * @param out collects effects
  * @param table the work in progress
- * @param timers what is due when
+ * @param timers orders work by its next due time
  * @param directory the documents in force
  * @param control configuration, membership and routing
- * @param admission guards the local copy
- * @param chainCuts what the deeper services admit
- * @param ownership work that must run at most once
- * @param clientRetries idempotent work that callers may repeat elsewhere
+ * @param admission controls admission to the local copy
+ * @param chainCuts the admission cuts of the deeper services
+ * @param ownership handles work that must run at most once
+ * @param clientRetries handles idempotent work that callers may repeat at other nodes
  * @param retryGate decides about retries
- * @param delivery tells outcomes
+ * @param delivery delivers outcomes
  * @param identifiers mints identifiers
  */
 record EngineParts(
--- a/policy/src/main/java/org/carawaysill/policy/engine/IdentifierSource.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/IdentifierSource.java
@@ -5,10 +5,10 @@
 import org.carawaysill.model.identity.RequestIdentifier;
 
 /**
- * Mints identifiers.
+ * Generates identifiers of attempts and requests.
  *
- * <p>Invariant: 128 random bits each, so two nodes never mint the same one in practice. Not thread safe: owned by the
- * policy.
+ * <p>Invariant: each has 128 random bits, so in practice two nodes never generate the same one. Not thread safe: owned by
+ * the policy.
  */
 final class IdentifierSource {
 
--- a/policy/src/main/java/org/carawaysill/policy/engine/LoadView.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/LoadView.java
@@ -8,7 +8,7 @@
 import org.carawaysill.policy.message.PeerMessage.ServiceCut;
 
 /**
- * What this node tells others of its load with each answer.
+ * Provides the load and the cuts that this node reports with each answer.
  *
  * <p>Not thread safe: owned by the policy.
  */
@@ -22,8 +22,8 @@
         this.chainCuts = chainCuts;
     }
 
-    /** Time that an attempt spends on a deeper call is not the local copy's own. */
-    void answeredBelow(long now, AttemptIdentifier attempt, boolean answered) {
+    /** Records the end of a deeper call; the time that an attempt spends on it does not count as the local copy's own. */
+    void deeperCallEnded(long now, AttemptIdentifier attempt, boolean answered) {
         admission.deeperCallEnded(now, attempt, answered);
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/engine/NodeIdentity.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/NodeIdentity.java
@@ -5,7 +5,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Who this node is, from its settings.
+ * The identity of this node, from its settings.
  *
  * <p>Immutable and thread safe.
  *
--- a/policy/src/main/java/org/carawaysill/policy/engine/Outbox.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/Outbox.java
@@ -6,7 +6,7 @@
 import org.carawaysill.policy.effect.Effect;
 
 /**
- * Collects the effects of one decision in order.
+ * Collects the effects of one decision, in order.
  *
  * <p>Not thread safe: owned by the policy.
  */
--- a/policy/src/main/java/org/carawaysill/policy/engine/OutcomeDelivery.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/OutcomeDelivery.java
@@ -5,7 +5,7 @@
 import org.carawaysill.policy.message.PeerMessage;
 
 /**
- * Tells everyone who waits for a piece of work what it came to.
+ * Delivers the outcome of a piece of work to all origins that wait for it.
  *
  * <p>Not thread safe: owned by the policy.
  */
@@ -26,8 +26,9 @@
     }
 
     /**
-     * Credits go back once and are then no longer here: neither a second waiter nor a late call of the copy may spend
-     * them again. A node that started a keyed request keeps them for the caller's repeats.
+     * Returns the unspent credits to give back. They go back once and are then no longer here: neither a second waiting
+     * origin nor a late call of the copy may spend them again. A node that started a request with an idempotency key keeps
+     * them for the caller's repeats.
      */
     private static int unspent(Work work, WorkOrigin origin) {
         if (work.scope() != Work.Scope.LOCAL_COPY) {
@@ -50,7 +51,7 @@
             case WorkOrigin.FromCaller caller -> out.add(new Effect.AnswerExchange(caller.exchange(), outcome));
             case WorkOrigin.FromCopy copy -> {
                 boolean answered = outcome instanceof Outcome.Answered;
-                copy.parent().ifPresent(attempt -> loadView.answeredBelow(now, attempt, answered));
+                copy.parent().ifPresent(attempt -> loadView.deeperCallEnded(now, attempt, answered));
                 out.add(new Effect.AnswerExchange(copy.exchange(), outcome));
             }
             case WorkOrigin.FromPeer peer ->
--- a/policy/src/main/java/org/carawaysill/policy/engine/OverloadPolicy.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/OverloadPolicy.java
@@ -21,7 +21,7 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * The overload control of one node: admission, retries, ownership, routing and configuration in one decision.
+ * Implements the overload control of one node: admission, retries, ownership, routing and configuration.
  *
  * <p>Invariant: the same events at the same moments give the same effects, for the same seed. Not thread safe: one thread
  * owns it.
@@ -47,12 +47,12 @@
     private long mayStopNanos = Long.MAX_VALUE;
     private boolean leaving;
     private boolean stopped;
-    private int breachesCounted;
+    private int violationsCounted;
 
     /**
      * Creates the policy of a node that has just started.
      *
-     * @param identity who the node is
+     * @param identity the identity of the node
      * @param self the node as the roster lists it
      * @param settings the settings of all features
      * @param parser the checks that a document must pass
@@ -109,12 +109,12 @@
                     Event.ConfigurationReadFailed _,
                     Event.WakeUp _ -> {}
         }
-        passTime(now);
+        processDue(now);
         return out.drain();
     }
 
     private void adopt(Moment now, ServiceConfiguration document) {
-        // An operator who waits for a version to be in force should not wait for the next regular status too.
+        // Publishes the status at once, so that an operator waiting for a version sees it without the regular delay.
         nextStatusNanos = now.nanos();
         if (document.service().equals(identity.service())) {
             document.copy(identity.node()).ifPresent(copy -> admission.slots(copy.slots()));
@@ -123,12 +123,12 @@
     }
 
     private void peerReceived(Moment now, Event.PeerReceived received) {
-        control.heard(now, received);
+        control.workReceived(now, received);
         NodeName from = received.from();
         switch (received.message()) {
             case PeerMessage.PeerRequest request -> peerRequests.accept(now, from, request);
             case PeerMessage.PeerAnswer answer -> {
-                learnCuts(now, from, answer);
+                recordCuts(now, from, answer);
                 runner.peerAnswered(now, from, answer);
             }
             case PeerMessage.CancelAttempt cancel -> peerRequests.cancelled(now, from, cancel.attempt());
@@ -152,7 +152,7 @@
         }
     }
 
-    private void learnCuts(Moment now, NodeName from, PeerMessage.PeerAnswer answer) {
+    private void recordCuts(Moment now, NodeName from, PeerMessage.PeerAnswer answer) {
         parts.table()
                 .byAttempt(answer.attempt())
                 .flatMap(work -> work.origins().stream()
@@ -167,7 +167,7 @@
         found.ifPresent(work -> work.origins().stream()
                 .filter(origin -> isExchange(origin, exchange))
                 .findFirst()
-                .ifPresent(origin -> runner.originGone(now, work, origin)));
+                .ifPresent(origin -> runner.originClosed(now, work, origin)));
     }
 
     private static boolean isExchange(WorkOrigin origin, ExchangeIdentifier exchange) {
@@ -184,11 +184,11 @@
         }
         mayStopNanos = now.nanos() + DRAIN_GRACE_NANOS;
         callerRequests.refuseFrom(mayStopNanos);
-        takeNoNewWork(now);
+        stopAcceptingWork(now);
         out.addAll(holder.handover(now));
     }
 
-    private void takeNoNewWork(Moment now) {
+    private void stopAcceptingWork(Moment now) {
         if (!leaving) {
             leaving = true;
             runner.drain(now.nanos());
@@ -196,9 +196,9 @@
         }
     }
 
-    private void passTime(Moment now) {
+    private void processDue(Moment now) {
         if (control.isLeaving()) {
-            takeNoNewWork(now);
+            stopAcceptingWork(now);
         }
         runner.apply(now, admission.wakeUp(now.nanos()));
         Optional<Work> due = parts.timers().pollDue(now.nanos());
@@ -209,19 +209,19 @@
         out.addAll(holder.wakeUp(now));
         if (now.nanos() >= nextStatusNanos) {
             nextStatusNanos = now.nanos() + STATUS_INTERVAL_NANOS;
-            countBreaches();
+            countViolations();
             out.add(new Effect.PublishStatus(status(now)));
         }
-        // New work is refused at once; the grace lets refusals and the drain notice reach those that still send some.
+        // New work is refused at once; the grace period lets refusals and the drain notice reach its senders.
         if (!stopped && now.nanos() >= mayStopNanos && parts.table().isEmpty() && admission.idle()) {
             stopped = true;
             out.add(new Effect.StopProcess());
         }
     }
 
-    private void countBreaches() {
-        while (breachesCounted < admission.breaches()) {
-            breachesCounted++;
+    private void countViolations() {
+        while (violationsCounted < admission.refusalOrderViolations()) {
+            violationsCounted++;
             out.count(Invariant.REFUSAL_ORDER);
         }
     }
--- a/policy/src/main/java/org/carawaysill/policy/engine/Ownership.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/Ownership.java
@@ -20,14 +20,14 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Work that must run at most once, at the node that holds its identifier.
+ * Handles work that must run at most once, at the node that is the holder of its identifier.
  *
- * <p>Invariant: a claim answered with {@link Claim.Run} becomes exactly one piece of work, whose outcome is told to the
+ * <p>Invariant: a claim answered with {@link Claim.Run} becomes exactly one piece of work, whose outcome is reported to the
  * holder's table once. Not thread safe: owned by the policy.
  */
 final class Ownership {
 
-    private static final int MOST_LATE_RUNS = 1000;
+    private static final int MAXIMUM_LATE_RUNS = 1000;
     private static final Duration RETRY_AFTER = Duration.ofMillis(500);
 
     private final Holder holder;
@@ -38,7 +38,7 @@
     private final Map<AttemptIdentifier, RequestIdentifier> lateRuns = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<AttemptIdentifier, RequestIdentifier> eldest) {
-            return size() > MOST_LATE_RUNS;
+            return size() > MAXIMUM_LATE_RUNS;
         }
     };
     private Optional<WorkRunner> runner = Optional.empty();
@@ -51,7 +51,7 @@
         this.ledgers = ledgers;
     }
 
-    /** Breaks the circle between this object and the runner, which need each other. */
+    /** Sets the runner, which can't be a constructor parameter because the two objects depend on each other. */
     void runner(WorkRunner starter) {
         runner = Optional.of(starter);
     }
@@ -60,11 +60,11 @@
         return holder.holder(request);
     }
 
-    boolean mayHandOver(Moment now) {
+    boolean mayHandToCopy(Moment now) {
         return holder.held(now);
     }
 
-    /** Decides as the holder of a request about one attempt at it. */
+    /** Decides about one attempt at a request that this node holds. */
     void hold(Moment now, WorkOrigin origin, RequestFacts facts, int credits) {
         int contentHash = contentHash(facts.content());
         Claim claim = facts.key()
@@ -72,7 +72,7 @@
                 .<Claim>map(key -> holder.claim(now, key, contentHash))
                 .orElseGet(() -> new Claim.Refused(RefusalReason.BAD_REQUEST, RETRY_AFTER));
         switch (claim) {
-            case Claim.Run run -> startUnlessHopeless(now, origin, facts, credits);
+            case Claim.Run run -> startUnlessRefused(now, origin, facts, credits);
             case Claim.Running running -> joinOrRefuse(now, origin, facts, credits);
             case Claim.Known known -> deliver(now, origin, facts, known.outcome(), credits);
             case Claim.MayHaveRun(var reason) ->
@@ -87,8 +87,11 @@
         }
     }
 
-    /** The claim shows that no earlier attempt ran, so a refusal here is a true "not run". */
-    private void startUnlessHopeless(Moment now, WorkOrigin origin, RequestFacts facts, int credits) {
+    /**
+     * Starts the work unless a deeper service would refuse it. The claim shows that no earlier attempt ran, so a
+     * refusal may say "not run".
+     */
+    private void startUnlessRefused(Moment now, WorkOrigin origin, RequestFacts facts, int credits) {
         Optional<ChainRefusal> refusal = chainCuts.check(now.nanos(), facts.operation(), facts.priority());
         if (refusal.isPresent()) {
             holder.notRun(facts.request());
@@ -109,8 +112,8 @@
     }
 
     /**
-     * A repeat of a request that is running waits for the same outcome; where the run has outlived its deadline, it is
-     * not known what it came to.
+     * Lets a repeat of a running request wait for the same outcome; if the run has outlived its deadline, the outcome is
+     * unknown.
      */
     private void joinOrRefuse(Moment now, WorkOrigin origin, RequestFacts facts, int credits) {
         Optional<Work> running = table.held(facts.request());
@@ -126,7 +129,7 @@
         delivery.deliver(now.nanos(), origin, facts.operation(), outcome, credits);
     }
 
-    /** Remembers the outcome of held work; work that was not run may be claimed again. */
+    /** Records the outcome of held work; work that was not run may be claimed again. */
     void finished(Work work, Outcome outcome) {
         if (!work.held()) {
             return;
@@ -139,16 +142,16 @@
     }
 
     /**
-     * Remembers a run that outlives the deadline of its caller, who was told that it is unknown: a repeat that comes after
-     * the copy's answer gets that answer.
+     * Records a run that outlives the deadline of its caller, which got the outcome "unknown": a repeat after the copy's
+     * answer gets that answer.
      */
-    void awaitLate(Work work, AttemptIdentifier attempt) {
+    void recordLateRun(Work work, AttemptIdentifier attempt) {
         if (work.held()) {
             lateRuns.put(attempt, work.facts().request());
         }
     }
 
-    void endedLate(AttemptIdentifier attempt, Outcome outcome) {
+    void lateRunEnded(AttemptIdentifier attempt, Outcome outcome) {
         RequestIdentifier request = lateRuns.remove(attempt);
         if (request != null && outcome instanceof Outcome.Answered) {
             holder.finished(request, outcome);
--- a/policy/src/main/java/org/carawaysill/policy/engine/PeerAttempts.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/PeerAttempts.java
@@ -13,10 +13,9 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Starts attempts at other nodes: at another copy, at the holder of a key, or at a node that may start a key.
+ * Starts attempts at other nodes: at another copy, at the holder of a key, or at a node that may start its request.
  *
- * <p>Invariant: the credits that go with an attempt are lent by the ledger of its work. Not thread safe: owned by the
- * policy.
+ * <p>Invariant: the credits sent with an attempt are lent by the ledger of its work. Not thread safe: owned by the policy.
  */
 final class PeerAttempts {
 
@@ -38,7 +37,7 @@
         identifiers = parts.identifiers();
     }
 
-    /** Sends the work to the node that its scope asks for, or tells why there is none, which is final. */
+    /** Sends the work to the node that its scope requires; returns the final outcome if there is none. */
     Optional<Outcome> start(Moment now, Work work) {
         return switch (work.scope()) {
             case AT_HOLDER -> atHolder(now, work);
@@ -55,14 +54,14 @@
         }
         work.tried().add(peer.get());
         int credits = work.ledger().left() - 1;
-        // One credit stays here, so that an attempt whose answer is lost does not take every retry with it.
+        // One credit stays here, so that an attempt whose answer is lost does not use up every retry.
         return send(now, work, peer.get(), Purpose.RUN, credits);
     }
 
     private Optional<Outcome> atHolder(Moment now, Work work) {
         Optional<NodeName> holder = ownership.holder(work.facts().request());
         if (holder.isEmpty() || !control.connected(holder.get())) {
-            // This attempt did not run, but an earlier one under the same key may have, and only the holder knows.
+            // This attempt did not run; whether an earlier one under the same key ran is known to the holder only.
             return Optional.of(new Outcome.Unknown(UnknownReason.HOLDER_UNREACHABLE, Step.OWNERSHIP, holder));
         }
         return send(now, work, holder.get(), Purpose.HOLD, work.ledger().left());
--- a/policy/src/main/java/org/carawaysill/policy/engine/PeerRequests.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/PeerRequests.java
@@ -14,14 +14,14 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Takes in requests that other nodes send.
+ * Accepts requests that other nodes send.
  *
- * <p>Invariant: the same message delivered twice is taken in once. Not thread safe: owned by the policy.
+ * <p>Invariant: a message that is delivered twice is processed once. Not thread safe: owned by the policy.
  */
 final class PeerRequests {
 
-    private static final Duration ONCE_MEMORY = Duration.ofSeconds(30);
-    private static final Duration IDEMPOTENT_MEMORY = Duration.ofSeconds(5);
+    private static final Duration NOT_IDEMPOTENT_RETENTION = Duration.ofSeconds(30);
+    private static final Duration IDEMPOTENT_RETENTION = Duration.ofSeconds(5);
     private static final Duration RETRY_AFTER = Duration.ofMillis(200);
 
     private final NodeIdentity identity;
@@ -31,8 +31,8 @@
     private final WorkTable table;
     private final WorkRunner runner;
     private final OutcomeDelivery delivery;
-    private final SeenAttempts seenOnce = new SeenAttempts(ONCE_MEMORY);
-    private final SeenAttempts seenIdempotent = new SeenAttempts(IDEMPOTENT_MEMORY);
+    private final SeenAttempts seenNotIdempotent = new SeenAttempts(NOT_IDEMPOTENT_RETENTION);
+    private final SeenAttempts seenIdempotent = new SeenAttempts(IDEMPOTENT_RETENTION);
     private boolean draining;
 
     PeerRequests(EngineParts parts, WorkRunner runner) {
@@ -65,7 +65,7 @@
                         () -> start(now, origin, request));
     }
 
-    /** As the holder this node can say "not run" only after it has looked into its table. */
+    /** Returns the outcome of a refusal; as the holder this node may say "not run" only after a look into its table. */
     private Outcome refused(PeerRequest request, RefusalReason reason) {
         Optional<NodeName> self = Optional.of(identity.node());
         return request.purpose() == Purpose.HOLD && !request.idempotent()
@@ -74,12 +74,12 @@
     }
 
     /**
-     * A message that arrives a second time after its first has been answered would run again what must run at most once,
-     * or run what its caller was told was not run. Its sender has one answer already and waits for no other, so the
-     * second is dropped. Idempotent work is remembered for less long, since there is far more of it.
+     * Returns whether an attempt has arrived before. A duplicate that arrives after the first was answered would run again
+     * what must run at most once, or run what was reported as not run. Its sender already has an answer and waits for no
+     * other, so the duplicate is dropped. Idempotent attempts are kept for a shorter time, since there are far more of them.
      */
     private boolean seenBefore(Moment now, NodeName from, PeerRequest request) {
-        SeenAttempts seen = request.idempotent() ? seenIdempotent : seenOnce;
+        SeenAttempts seen = request.idempotent() ? seenIdempotent : seenNotIdempotent;
         return !seen.add(now.nanos(), new WorkOrigin.FromPeer(from, request.attempt()));
     }
 
@@ -125,11 +125,11 @@
         }
     }
 
-    /** The other node no longer waits; work that others still wait for, or that must not be cut off, goes on. */
+    /** Processes a cancellation; work that other origins wait for, or that must not be interrupted, continues. */
     void cancelled(Moment now, NodeName from, AttemptIdentifier attempt) {
         table.byPeer(from, attempt).ifPresent(work -> {
             WorkOrigin origin = new WorkOrigin.FromPeer(from, attempt);
-            runner.originGone(now, work, origin);
+            runner.originClosed(now, work, origin);
         });
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/engine/PolicySettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/PolicySettings.java
@@ -13,13 +13,13 @@
  *
  * <p>Immutable and thread safe.
  *
- * @param admission guards the local copy
- * @param distribution gets the configuration
- * @param membership watches other nodes
- * @param routing chooses copies
- * @param lease bounds how long a holder may act
- * @param holder bounds the table of work that must run at most once
- * @param budget bounds retries by caller and service
+ * @param admission settings of the admission to the local copy
+ * @param distribution settings of the distribution of configuration
+ * @param membership settings of the detection of failed nodes
+ * @param routing settings of the choice of copies
+ * @param lease the durations of leases, which bound how long a holder may act
+ * @param holder the bounds of the table of work that must run at most once
+ * @param budget the bounds of retries by caller and service
  */
 public record PolicySettings(
         AdmissionSettings admission,
@@ -30,7 +30,7 @@
         HolderSettings holder,
         RetryBudgetSettings budget) {
 
-    /** The settings that the decision records argue for. */
+    /** The default settings, whose reasons are in the decision records. */
     public static final PolicySettings DEFAULTS = new PolicySettings(
             AdmissionSettings.DEFAULTS,
             DistributionSettings.DEFAULT,
--- a/policy/src/main/java/org/carawaysill/policy/engine/RequestFacts.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/RequestFacts.java
@@ -8,16 +8,16 @@
 import org.carawaysill.model.request.RequestContent;
 
 /**
- * What is known of a request when it reaches this node; it does not change while the node works on it.
+ * The properties of a request as it reaches this node; they do not change while the node handles it.
  *
  * <p>Immutable and thread safe.
  *
  * @param request the caller's request over all its attempts
  * @param service the service that runs it
  * @param operation the operation's name
- * @param caller who asked at the entry
+ * @param caller the caller at the entry
  * @param priority the place in the order of refusal
- * @param idempotent whether running it twice does no harm
+ * @param idempotent whether the request may run more than once
  * @param key the caller's idempotency key, if there is one
  * @param arrivedNanos when it reached this node, on the monotonic clock
  * @param deadlineNanos when its caller stops waiting, on the monotonic clock
--- a/policy/src/main/java/org/carawaysill/policy/engine/RetryDecision.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/RetryDecision.java
@@ -6,8 +6,8 @@
 import org.carawaysill.model.request.RetryReason;
 
 /**
- * Whether an outcome of one attempt may be tried again at all, and why; credits, budget and a copy to try at are asked
- * for afterwards.
+ * Decides whether an attempt with a given outcome may be retried at all, and why; credits, budget and the availability of
+ * another copy are checked afterwards.
  *
  * <p>Immutable and thread safe.
  */
@@ -27,7 +27,7 @@
         };
     }
 
-    /** A gateway error comes from a deeper hop, which has used its own retries: trying again here would multiply them. */
+    /** Excludes gateway errors: they come from a deeper hop that used its own retries, which a retry would multiply. */
     private static Optional<RetryReason> afterAnswer(boolean idempotent, int status) {
         boolean copyFailed = status == INTERNAL_ERROR || status == SERVICE_UNAVAILABLE;
         return idempotent && copyFailed ? Optional.of(RetryReason.COPY_ERROR) : Optional.empty();
--- a/policy/src/main/java/org/carawaysill/policy/engine/RetryGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/RetryGate.java
@@ -9,7 +9,7 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Decides whether and when a piece of work is tried again.
+ * Decides whether and when a piece of work is retried.
  *
  * <p>Invariant: every retry spends one credit of the request's ledger. Not thread safe: owned by the policy.
  */
@@ -31,7 +31,7 @@
         this.out = out;
     }
 
-    /** What another node asked for was counted there. */
+    /** Counts a first attempt for the budget; work that another node requested was counted there. */
     void firstAttempt(Moment now, Work work) {
         if (!mayTryElsewhere(work)) {
             return;
@@ -39,7 +39,7 @@
         budget.firstAttempt(now.nanos(), work.facts().caller(), work.facts().service());
     }
 
-    /** Tells when to try again, or nothing where the outcome is final. */
+    /** Returns when to retry, or empty if the outcome is final. */
     Optional<Long> retryAt(Moment now, Work work, Outcome outcome, boolean draining) {
         if (work.finished() || !mayTryElsewhere(work)) {
             return Optional.empty();
@@ -73,7 +73,7 @@
                 .isPresent();
     }
 
-    /** A refusal cost its copy nothing, so another copy is asked at once; a lost answer may mean an overloaded copy. */
+    /** Retries at once after a refusal, which cost the copy nothing; backs off after a lost answer or an error, since the copy may be overloaded. */
     private OptionalLong delay(Moment now, Work work, RetryReason reason) {
         long remaining = work.facts().deadlineNanos() - now.nanos();
         return switch (reason) {
--- a/policy/src/main/java/org/carawaysill/policy/engine/SeenAttempts.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/SeenAttempts.java
@@ -5,33 +5,33 @@
 import java.util.Set;
 
 /**
- * The attempts that other nodes sent lately.
+ * Records the attempts that other nodes sent recently.
  *
- * <p>Invariant: an attempt is remembered for at least the memory given, which no message outlives, and at most twice as
- * long. Not thread safe: owned by the policy.
+ * <p>Invariant: an attempt is kept for at least the given time, which no message outlives, and at most twice as long. Not
+ * thread safe: owned by the policy.
  */
 final class SeenAttempts {
 
-    private final long memoryNanos;
-    private Set<WorkOrigin.FromPeer> present = new HashSet<>();
-    private Set<WorkOrigin.FromPeer> before = new HashSet<>();
-    private long turnedNanos = Long.MIN_VALUE;
+    private final long retentionNanos;
+    private Set<WorkOrigin.FromPeer> current = new HashSet<>();
+    private Set<WorkOrigin.FromPeer> previous = new HashSet<>();
+    private long rotatedNanos = Long.MIN_VALUE;
 
-    SeenAttempts(Duration memory) {
-        memoryNanos = memory.toNanos();
+    SeenAttempts(Duration retention) {
+        retentionNanos = retention.toNanos();
     }
 
-    /** Remembers an attempt, and tells whether it is new. */
+    /** Records an attempt, and returns whether it is new. */
     boolean add(long now, WorkOrigin.FromPeer attempt) {
-        turn(now);
-        return !before.contains(attempt) && present.add(attempt);
+        rotate(now);
+        return !previous.contains(attempt) && current.add(attempt);
     }
 
-    private void turn(long now) {
-        if (turnedNanos == Long.MIN_VALUE || now - turnedNanos >= memoryNanos) {
-            before = present;
-            present = new HashSet<>();
-            turnedNanos = now;
+    private void rotate(long now) {
+        if (rotatedNanos == Long.MIN_VALUE || now - rotatedNanos >= retentionNanos) {
+            previous = current;
+            current = new HashSet<>();
+            rotatedNanos = now;
         }
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/engine/ServiceDirectory.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/ServiceDirectory.java
@@ -10,7 +10,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * The documents in force at this node, with their classifiers.
+ * Holds the documents in force at this node, with their classifiers.
  *
  * <p>Invariant: a document is only ever replaced by one of a higher version. Not thread safe: owned by the policy.
  */
@@ -18,10 +18,10 @@
 
     private final Map<ServiceName, Entry> entries = new HashMap<>();
 
-    /** Takes a document, and tells whether it is new. */
+    /** Adopts a document if it is newer; returns whether it is. */
     boolean adopt(ServiceConfiguration configuration) {
-        Entry present = entries.get(configuration.service());
-        if (present != null && present.configuration().version() >= configuration.version()) {
+        Entry current = entries.get(configuration.service());
+        if (current != null && current.configuration().version() >= configuration.version()) {
             return false;
         }
         entries.put(configuration.service(), new Entry(configuration, new RequestClassifier(configuration)));
--- a/policy/src/main/java/org/carawaysill/policy/engine/Timers.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/Timers.java
@@ -5,10 +5,10 @@
 import java.util.PriorityQueue;
 
 /**
- * Pieces of work ordered by the time at which something is due for them.
+ * Orders pieces of work by the time at which an action on them is due.
  *
- * <p>An entry whose work has finished stays until it is due and is then skipped, so that cancelling costs nothing. Not
- * thread safe: owned by the policy.
+ * <p>An entry whose work has finished stays until it reaches the head and is then skipped, so that cancelling costs
+ * nothing. Not thread safe: owned by the policy.
  */
 final class Timers {
 
--- a/policy/src/main/java/org/carawaysill/policy/engine/Work.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/Work.java
@@ -9,9 +9,9 @@
 import org.carawaysill.policy.retry.RequestLedger;
 
 /**
- * One request that this node brings to an outcome, over all its attempts here.
+ * A request that this node handles until its outcome, over all its attempts here.
  *
- * <p>Invariants: one attempt at a time; finished at most once; {@link #mayHaveRun()} never turns back to false. Not
+ * <p>Invariants: one attempt at a time; finished at most once; {@link #mayHaveRun()} never returns to false. Not
  * thread safe: owned by the policy.
  */
 final class Work {
@@ -35,9 +35,9 @@
         origins.add(origin);
     }
 
-    /** Where this node may run a piece of work. */
+    /** Where a piece of work may run. */
     enum Scope {
-        /** At the local copy only, as another node asked. */
+        /** At the local copy only, as requested by another node. */
         LOCAL_COPY,
         /** At any copy of this node's own service, the local one first. */
         OWN_SERVICE,
@@ -104,7 +104,7 @@
         mayHaveRunListener.run();
     }
 
-    /** Has an action run whenever an attempt may have run. */
+    /** Sets the action that runs whenever an attempt may have run. */
     void onMayHaveRun(Runnable action) {
         mayHaveRunListener = action;
     }
--- a/policy/src/main/java/org/carawaysill/policy/engine/WorkOrigin.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/WorkOrigin.java
@@ -5,7 +5,7 @@
 import org.carawaysill.model.identity.ExchangeIdentifier;
 import org.carawaysill.model.identity.NodeName;
 
-/** Who waits for the outcome of a piece of work. Immutable and thread safe. */
+/** The origin of a piece of work, which waits for its outcome. Immutable and thread safe. */
 sealed interface WorkOrigin {
 
     /**
@@ -20,7 +20,7 @@
      *
      * @param exchange the HTTP exchange to answer
      * @param parentOperation the operation of this node's service during which the copy calls
-     * @param parent the attempt during which it calls, if it is known
+     * @param parent the attempt during which it calls, if known
      */
     record FromCopy(ExchangeIdentifier exchange, String parentOperation, Optional<AttemptIdentifier> parent)
             implements WorkOrigin {}
--- a/policy/src/main/java/org/carawaysill/policy/engine/WorkRunner.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/WorkRunner.java
@@ -20,7 +20,7 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * Brings a piece of work to its outcome: one attempt after another, at the local copy or at another node.
+ * Runs a piece of work to its outcome: one attempt after another, at the local copy or at another node.
  *
  * <p>Invariants: a piece of work has one attempt at a time; an outcome of an attempt that has ended changes nothing; work
  * of which any attempt may have run is never reported as not run. Not thread safe: owned by the policy.
@@ -30,7 +30,7 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final long NOT_LEAVING = Long.MAX_VALUE;
     private static final long LEAVING_GRACE_NANOS = Duration.ofSeconds(5).toNanos();
-    private static final Duration SHORTEST_RETRY_AFTER = Duration.ofMillis(100);
+    private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
     private final NodeIdentity identity;
     private final WorkTable table;
@@ -67,15 +67,15 @@
         leavingSinceNanos = now;
     }
 
-    /** Takes in work that is not yet in the table. */
+    /** Starts work that is not yet in the table. */
     void start(Moment now, Work work) {
         table.add(work);
         retryGate.firstAttempt(now, work);
         timers.add(work.facts().deadlineNanos(), work);
-        tryNext(now, work);
+        startNextAttempt(now, work);
     }
 
-    private void tryNext(Moment now, Work work) {
+    private void startNextAttempt(Moment now, Work work) {
         work.retryDueNanos(Long.MAX_VALUE);
         boolean local = switch (work.scope()) {
             case LOCAL_COPY -> true;
@@ -105,7 +105,7 @@
         apply(now, admission.offer(now.nanos(), candidate));
     }
 
-    /** Carries out what the admission of the local copy decided. */
+    /** Applies verdicts of the local copy's admission control. */
     void apply(Moment now, List<Verdict> verdicts) {
         for (Verdict verdict : verdicts) {
             switch (verdict) {
@@ -134,22 +134,21 @@
             return;
         }
         Work work = found.get();
-        // A holder that was paused in the queue may wake under an expired lease, while another node has become the
-        // holder.
-        // Asking again right before the write keeps it from running what it may no longer own.
-        if (work.held() && !ownership.mayHandOver(now)) {
+        // A holder that was paused while the work was queued may resume with an expired lease, while another node has
+        // become the holder. The check right before the write keeps it from running what it may no longer own.
+        if (work.held() && !ownership.mayHandToCopy(now)) {
             apply(now, admission.withdraw(now.nanos(), attempt));
             finish(now, work, notRun(RefusalReason.NO_LEASE, Step.OWNERSHIP));
             return;
         }
-        checkHandOver(now, work);
+        countViolations(now, work);
         work.current(Optional.of(new Attempt.AtCopy(attempt)));
         out.add(new Effect.HandToCopy(
                 attempt, work.facts().content(), work.facts().deadlineNanos()));
     }
 
-    /** Counts what the guards before this step should have made impossible. */
-    private void checkHandOver(Moment now, Work work) {
+    /** Counts violations of invariants that earlier checks should have prevented. */
+    private void countViolations(Moment now, Work work) {
         if (!work.facts().idempotent() && work.mayHaveRun()) {
             out.count(Invariant.AT_MOST_ONCE);
         }
@@ -158,7 +157,7 @@
         }
     }
 
-    /** Takes the local copy's answer, or the failure to get one. */
+    /** Processes the local copy's answer, or the failure to get one. */
     void copyAnswered(Moment now, AttemptIdentifier attempt, Outcome outcome) {
         Finish finish = switch (outcome) {
             case Outcome.Answered(AnswerContent answer) -> finish(answer.status());
@@ -170,12 +169,12 @@
         apply(now, verdicts);
     }
 
-    /** A copy that sheds answers fast; taken for an answer, it would look quick and draw more work. */
+    /** Counts a 503 as a failure: a copy that sheds load responds fast, would look fast and would attract more work. */
     private static Finish finish(int status) {
         return status == SERVICE_UNAVAILABLE ? Finish.FAILED : Finish.ANSWERED;
     }
 
-    /** Takes another node's answer; one that comes late, twice or from a node that was not asked changes nothing. */
+    /** Processes another node's answer; a late or duplicate one, or one from a node that was not asked, is ignored. */
     void peerAnswered(Moment now, NodeName from, PeerMessage.PeerAnswer answer) {
         Optional<Work> found = table.byAttempt(answer.attempt());
         if (found.isEmpty()
@@ -186,11 +185,11 @@
         }
         control.answered(now, from, answer.load(), now.nanos() - sent);
         found.get().ledger().returned(answer.attempt(), answer.unspentCredits());
-        ended(now, answer.attempt(), heardFrom(from, answer.outcome()));
+        ended(now, answer.attempt(), withPeer(from, answer.outcome()));
     }
 
-    /** A refusal that a node passes on keeps the peer at which it arose. */
-    private static Outcome heardFrom(NodeName peer, Outcome outcome) {
+    /** Adds the answering peer to an outcome; one that the peer passed on keeps the node at which it arose. */
+    private static Outcome withPeer(NodeName peer, Outcome outcome) {
         return switch (outcome) {
             case Outcome.Answered answered -> answered;
             case Outcome.NotRun(var reason, var retryAfter, var step, var at) ->
@@ -200,7 +199,7 @@
         };
     }
 
-    /** A message to another node was not written at all. */
+    /** Processes the failure to write a message to another node at all. */
     void unsent(Moment now, NodeName peer, AttemptIdentifier attempt) {
         table.byAttempt(attempt).ifPresent(work -> {
             control.failed(now, peer);
@@ -208,19 +207,19 @@
             Outcome outcome = work.scope() == Work.Scope.AT_HOLDER
                     ? new Outcome.Unknown(UnknownReason.HOLDER_UNREACHABLE, Step.PEER_SEND, Optional.of(peer))
                     : new Outcome.NotRun(
-                            RefusalReason.PEER_UNREACHABLE, SHORTEST_RETRY_AFTER, Step.PEER_SEND, Optional.of(peer));
+                            RefusalReason.PEER_UNREACHABLE, RETRY_AFTER, Step.PEER_SEND, Optional.of(peer));
             ended(now, attempt, outcome);
         });
     }
 
-    /** The connection to another node is gone, and with it every answer that was awaited from it. */
+    /** Ends all attempts at another node after the connection to it was lost. */
     void peerLost(Moment now, NodeName peer) {
         for (Work work : table.atPeer(peer)) {
-            loseAttempt(now, work, peer);
+            attemptLost(now, work, peer);
         }
     }
 
-    /** Another node is silent; idempotent work need not wait for it. */
+    /** Ends the attempts of idempotent work at a suspected node; other work continues to wait for it. */
     void peerSuspected(Moment now, NodeName peer) {
         for (Work work : table.atPeer(peer)) {
             if (work.facts().idempotent()) {
@@ -228,12 +227,12 @@
                         peer,
                         new PeerMessage.CancelAttempt(
                                 work.current().orElseThrow().identifier())));
-                loseAttempt(now, work, peer);
+                attemptLost(now, work, peer);
             }
         }
     }
 
-    private void loseAttempt(Moment now, Work work, NodeName peer) {
+    private void attemptLost(Moment now, Work work, NodeName peer) {
         AttemptIdentifier attempt = work.current().orElseThrow().identifier();
         control.failed(now, peer);
         work.ledger().lost(attempt);
@@ -243,7 +242,7 @@
     private void ended(Moment now, AttemptIdentifier attempt, Outcome outcome) {
         Optional<Work> found = table.byAttempt(attempt);
         if (found.isEmpty()) {
-            ownership.endedLate(attempt, outcome);
+            ownership.lateRunEnded(attempt, outcome);
             return;
         }
         Work work = found.get();
@@ -255,14 +254,14 @@
         if (retryAt.isEmpty()) {
             finish(now, work, outcome);
         } else if (retryAt.get() <= now.nanos()) {
-            tryNext(now, work);
+            startNextAttempt(now, work);
         } else {
             work.retryDueNanos(retryAt.get());
             timers.add(retryAt.get(), work);
         }
     }
 
-    /** Does what is due for a piece of work: its deadline, or its next attempt. */
+    /** Handles the deadline of a piece of work, or starts its next attempt. */
     void due(Moment now, Work work) {
         if (now.nanos() >= work.facts().deadlineNanos()) {
             abandon(
@@ -272,7 +271,7 @@
                             .map(WorkRunner::atDeadline)
                             .orElseGet(() -> notRun(RefusalReason.DEADLINE, Step.ADMISSION)));
         } else if (now.nanos() >= work.retryDueNanos()) {
-            tryNext(now, work);
+            startNextAttempt(now, work);
         }
     }
 
@@ -285,7 +284,7 @@
         };
     }
 
-    /** Ends work whose caller went away or stops waiting; what is not idempotent runs on once it has been handed over. */
+    /** Ends work whose caller no longer waits; a run at the copy that is not idempotent is not cancelled there. */
     void abandon(Moment now, Work work, Outcome outcome) {
         work.current().ifPresent(attempt -> cancel(now, work, attempt));
         if (!work.finished()) {
@@ -300,7 +299,7 @@
             case Attempt.AtCopy atCopy -> {
                 work.markMayHaveRun();
                 if (!work.facts().idempotent()) {
-                    ownership.awaitLate(work, atCopy.identifier());
+                    ownership.recordLateRun(work, atCopy.identifier());
                 } else {
                     out.add(new Effect.CancelAtCopy(atCopy.identifier()));
                     apply(now, admission.withdraw(now.nanos(), atCopy.identifier()));
@@ -315,8 +314,8 @@
         }
     }
 
-    /** One of those who wait went away; work that others still wait for, or that must not be cut off, goes on. */
-    void originGone(Moment now, Work work, WorkOrigin origin) {
+    /** Removes an origin; work that others wait for, or that must not be interrupted, continues. */
+    void originClosed(Moment now, Work work, WorkOrigin origin) {
         table.removeOrigin(origin);
         work.origins().remove(origin);
         boolean atCopy = work.current()
@@ -328,21 +327,20 @@
     }
 
     private void finish(Moment now, Work work, Outcome outcome) {
-        // A refusal of the last attempt says nothing of the earlier ones: reporting it as "not run" would be false, and
-        // a
+        // A refusal of the last attempt does not cover the earlier ones. Reporting "not run" would be false, and a
         // caller that trusts it would run the work twice.
-        Outcome told = outcome instanceof Outcome.NotRun && work.mayHaveRun()
+        Outcome reported = outcome instanceof Outcome.NotRun && work.mayHaveRun()
                 ? unknown(UnknownReason.EARLIER_ATTEMPT, Step.PEER_WAIT)
                 : outcome;
         table.remove(work);
         work.finish();
-        ownership.finished(work, told);
+        ownership.finished(work, reported);
         clientRetries.finished(work);
-        delivery.deliver(now.nanos(), work, told);
+        delivery.deliver(now.nanos(), work, reported);
     }
 
     private static Outcome notRun(RefusalReason reason, Step step) {
-        return new Outcome.NotRun(reason, SHORTEST_RETRY_AFTER, step, Optional.empty());
+        return new Outcome.NotRun(reason, RETRY_AFTER, step, Optional.empty());
     }
 
     private static Outcome unknown(UnknownReason reason, Step step) {
--- a/policy/src/main/java/org/carawaysill/policy/engine/WorkTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/WorkTable.java
@@ -11,9 +11,9 @@
 import org.carawaysill.model.identity.RequestIdentifier;
 
 /**
- * Finds the work in progress by whoever waits for it, by its attempt, or by its identifier where this node holds it.
+ * Indexes the work in progress by origin, by current attempt and, for work that this node holds, by request identifier.
  *
- * <p>Invariant: only unfinished work is found, so a late answer finds nothing. Not thread safe: owned by the policy.
+ * <p>Invariant: only unfinished work is found, so a late answer finds none. Not thread safe: owned by the policy.
  */
 final class WorkTable {
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Lets one more origin wait for the outcome of work in progress. */
+    /** Adds an origin that waits for the outcome of work in progress. */
     void attach(Work work, WorkOrigin origin) {
         work.origins().add(origin);
         register(origin, work);
@@ -85,7 +85,7 @@
         return Optional.ofNullable(held.get(request));
     }
 
-    /** Lists the work whose present attempt is at another node. */
+    /** Returns the work whose current attempt is at a given other node. */
     List<Work> atPeer(NodeName peer) {
         return byAttempt.values().stream()
                 .filter(work -> work.current()
--- a/policy/src/main/java/org/carawaysill/policy/engine/package-info.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/package-info.java
@@ -1,4 +1,4 @@
-/** The whole policy of a node, composed of the features that decide about admission, retries, ownership and routing. */
+/** The complete policy of a node, composed of admission, retries, ownership, routing and configuration. */
 @NullMarked
 package org.carawaysill.policy.engine;
 
--- a/policy/src/main/java/org/carawaysill/policy/ownership/HolderRecord.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/HolderRecord.java
@@ -7,7 +7,7 @@
  *
  * <p>Immutable and thread safe.
  *
- * @param mintedMillis when its identifier was minted, if the identifier tells, wall clock since 1970
+ * @param mintedMillis when its identifier was minted, if the identifier contains it, wall clock since 1970
  * @param contentHash a hash of its content
  * @param claimedNanos when it was claimed, on the monotonic clock
  * @param finished whether its outcome is known or will never become known
--- a/policy/src/main/java/org/carawaysill/policy/ownership/LeaseGranter.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/LeaseGranter.java
@@ -126,8 +126,7 @@
     }
 
     /**
-     * Returns how long ago the last lease ended that excludes this one. The requester may vouch from then on: whoever acted
-     * on its identifiers before did so under a lease that a majority granted, and a member of that majority also answers
+     * Returns how long ago the last lease ended that excludes this one. The requester may vouch from then on: a node that acted on its identifiers before did so under a lease that a majority granted, and a member of that majority also answers
      * this request.
      */
     private long freeForNanos(long now, Actor actor, Scope scope) {
--- a/policy/src/main/java/org/carawaysill/policy/ownership/LeaseSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/LeaseSettings.java
@@ -54,7 +54,7 @@
     /**
      * Returns for how long a VM must have been absent from the list before it counts as gone.
      *
-     * @return the time within which every lease that the VM granted has expired, every request has met its deadline, and
+     * @return the time within which every lease that the VM granted has expired, every request has passed its deadline, and
      * the list is up to date
      */
     public Duration goneAfter() {
--- a/policy/src/main/java/org/carawaysill/policy/ownership/LeaseVotes.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/LeaseVotes.java
@@ -62,7 +62,7 @@
         votes.merge(granter, vote, (old, next) -> next.sentNanos >= old.sentNanos ? next : old);
     }
 
-    /** Returns until when a majority of each roster grants the lease, about {@link Long#MIN_VALUE} if one does not. */
+    /** Returns until when a majority of each roster grants the lease; a time before all others if one does not. */
     long untilNanos(List<Roster> rosters, Extent extent) {
         return rosters.stream()
                 .mapToLong(roster -> untilNanos(roster, extent))
--- a/policy/src/main/java/org/carawaysill/policy/ownership/Recovery.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/Recovery.java
@@ -13,8 +13,8 @@
  * then grants to a holder under the old roster beside the holder under the new one, so that the same identifier runs
  * twice. A restarted node therefore grants nothing until a majority of each roster that it knows, not counting members
  * that are recovering themselves, has sent the rosters that they know; each grant of a majority is known to one of them.
- * If too many members restarted for such a majority, every member must have replied, except those that are permanently
- * gone: what none of the members knows is known nowhere. This is the recovery of Viewstamped Replication (Liskov and
+ * If too many members restarted for such a majority, every member must have replied, except fewer than a majority that
+ * are permanently gone: what none of the members knows is known nowhere. This is the recovery of Viewstamped Replication (Liskov and
  * Cowling, 2012).
  *
  * <p>Not thread safe: one thread owns it.
--- a/policy/src/main/java/org/carawaysill/policy/ownership/RequestKey.java
+++ b/policy/src/main/java/org/carawaysill/policy/ownership/RequestKey.java
@@ -9,6 +9,6 @@
  * <p>Immutable and thread safe.
  *
  * @param request the request that it identifies
- * @param mintedMillis when the key was minted, if the key tells, wall clock since 1970
+ * @param mintedMillis when the key was minted, if the key contains it, wall clock since 1970
  */
 public record RequestKey(RequestIdentifier request, OptionalLong mintedMillis) {}
--- a/policy/src/test/java/org/carawaysill/policy/admission/ChainOverloadTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/admission/ChainOverloadTest.java
@@ -53,7 +53,8 @@
         assertTrue(shallow >= shallowShare, "shallow " + shallow);
         for (Run run : runs) {
             assertTrue(run.recoverySeconds() <= 1, "recovery " + run.recoverySeconds());
-            run.chain.services.forEach(copies -> copies.forEach(node -> assertEquals(0, node.admission.breaches())));
+            run.chain.services.forEach(
+                    copies -> copies.forEach(node -> assertEquals(0, node.admission.refusalOrderViolations())));
         }
     }
 
--- a/policy/src/test/java/org/carawaysill/policy/admission/CopyAdmissionInterleavingsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/admission/CopyAdmissionInterleavingsTest.java
@@ -66,7 +66,7 @@
                 step();
                 assertEquals(waiting.size(), admission.load().queued());
                 assertEquals(running.size(), admission.load().inFlight());
-                assertEquals(0, admission.breaches());
+                assertEquals(0, admission.refusalOrderViolations());
                 assertTrue(admission.load().limit() >= 1 && admission.load().limit() <= slots);
             }
         }
--- a/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedClients.java
+++ b/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedClients.java
@@ -57,7 +57,7 @@
         return young ? Optional.of(old.key) : Optional.empty();
     }
 
-    /** Attempts a request at every process that is up, with random delays. */
+    /** Attempts a request at every process that is up, in random order and with random delays. */
     void attemptEverywhere(RequestKey key) {
         for (SimulatedNode node : world.nodes) {
             world.after(world.random.nextInt(30), () -> world.at(node, () -> attempt(node, key)));
--- a/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/ownership/SimulatedFleet.java
@@ -194,7 +194,7 @@
                 () -> readers.forEach(node -> world.listVms(node, shown)));
     }
 
-    /** Ends all faults and runs on until every node of the newest roster is up and has read it. */
+    /** Ends all faults, also partitions and pauses; then every node of the newest roster runs and has read it. */
     void endFaults() {
         world.endPartitions();
         world.network(0, 0, 5);
