--- a/soak/src/main/java/org/carawaysill/soak/Documents.java
+++ b/soak/src/main/java/org/carawaysill/soak/CachingDocumentParser.java
@@ -12,17 +12,17 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * Checks documents as a node does, once for all nodes of a schedule.
+ * Parses each document as a node does and caches the result for all nodes of a schedule.
  *
  * <p>Not thread safe: one schedule owns it.
  */
-final class Documents implements DocumentParser {
+final class CachingDocumentParser implements DocumentParser {
 
     private final Map<Key, Verdict> verdicts = new HashMap<>();
 
     @Override
     public Verdict parse(String text, long version) {
-        return verdicts.computeIfAbsent(new Key(text, version), Documents::check);
+        return verdicts.computeIfAbsent(new Key(text, version), CachingDocumentParser::check);
     }
 
     private static Verdict check(Key key) {
--- a/soak/src/main/java/org/carawaysill/soak/Clients.java
+++ b/soak/src/main/java/org/carawaysill/soak/Clients.java
@@ -16,20 +16,20 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * Callers that repeat a request under the same key at any node until it is answered.
+ * Simulates callers that retry a request under the same key at random nodes until it is answered.
  *
  * <p>Not thread safe: one schedule owns it.
  */
 final class Clients {
 
-    /** The header that carries the key through the chain, for the run log. */
+    /** Header that carries the caller's key along the call chain, for the run log. */
     static final String KEY_HEADER = "trace";
 
     private static final int HOPS = 2;
-    private static final int MOST_TRIES = 5;
+    private static final int MAXIMUM_TRIES = 5;
     private static final int OK = 200;
-    private static final long PATIENCE_NANOS = 1_600_000_000L;
-    private static final long LONGEST_BACKOFF_NANOS = 400_000_000L;
+    private static final long TIMEOUT_NANOS = 1_600_000_000L;
+    private static final long MAXIMUM_BACKOFF_NANOS = 400_000_000L;
 
     private final Schedule schedule;
     private final RandomGenerator random;
@@ -56,7 +56,7 @@
 
     private void attempt(Request request) {
         request.tries++;
-        SimulatedNode node = schedule.anyEntryNode();
+        SimulatedNode node = schedule.randomEntryNode();
         ExchangeIdentifier exchange = new ExchangeIdentifier(random.nextLong(), random.nextLong());
         int tryNumber = request.tries;
         RequestContent content = new RequestContent(
@@ -68,7 +68,7 @@
                 exchange,
                 outcome -> ended(request, tryNumber, outcome),
                 new Event.CallerRequest(exchange, new CallerName(request.caller), Optional.of(request.key), content));
-        schedule.agenda().in(PATIENCE_NANOS, () -> {
+        schedule.eventQueue().in(TIMEOUT_NANOS, () -> {
             if (!request.done && request.tries == tryNumber) {
                 node.close(exchange);
                 ended(request, tryNumber, Optional.empty());
@@ -91,28 +91,28 @@
                             request.key + " is refused after it ran: " + outcome.get());
         }
         if (outcome.isPresent() && outcome.get() instanceof Outcome.Answered(AnswerContent answer)) {
-            checkOwn(request.key, answer);
+            checkOwnAnswer(request.key, answer);
             request.answered |= answer.status() == OK;
         }
-        if (request.answered || request.tries == MOST_TRIES) {
+        if (request.answered || request.tries == MAXIMUM_TRIES) {
             request.done = true;
         } else {
             request.waiting = true;
-            schedule.agenda().in(random.nextLong(LONGEST_BACKOFF_NANOS), () -> {
+            schedule.eventQueue().in(random.nextLong(MAXIMUM_BACKOFF_NANOS), () -> {
                 request.waiting = false;
                 attempt(request);
             });
         }
     }
 
-    void checkOwn(String key, AnswerContent answer) {
+    void checkOwnAnswer(String key, AnswerContent answer) {
         if (!answer.body().equals(Body.ofText(key))) {
             schedule.journal().breach(schedule.now(), Invariant.OWN_ANSWER, key + " got another's answer");
         }
     }
 
-    /** Checks, after the end, what callers were told against what ran. */
-    void judge(int rosters) {
+    /** Checks, at the end of a schedule, the outcomes that callers received against the run log. */
+    void checkOutcomes(int rosters) {
         for (Request request : requests) {
             int runs = schedule.runLog().count(request.key);
             if (request.onlyRefused && runs > 0) {
@@ -140,7 +140,7 @@
                 .count();
     }
 
-    /** A request with all its tries; mutable, owned by the schedule. */
+    /** A request with the state of all its tries; mutable, owned by the schedule. */
     private static final class Request {
         private final String key;
         private final boolean post;
--- a/soak/src/main/java/org/carawaysill/soak/Agenda.java
+++ b/soak/src/main/java/org/carawaysill/soak/EventQueue.java
@@ -4,12 +4,12 @@
 import java.util.PriorityQueue;
 
 /**
- * What happens when, in virtual time.
+ * Runs scheduled actions in virtual time.
  *
- * <p>Invariant: time never falls; entries of one time run in the order in which they were added. Not thread safe: one
- * schedule owns it.
+ * <p>Invariant: time never falls; entries due at the same time run in the order in which they were added. Not thread
+ * safe: one schedule owns it.
  */
-final class Agenda {
+final class EventQueue {
 
     private final PriorityQueue<Entry> entries =
             new PriorityQueue<>(Comparator.comparingLong(Entry::atNanos).thenComparingLong(Entry::sequence));
--- a/soak/src/main/java/org/carawaysill/soak/Journal.java
+++ b/soak/src/main/java/org/carawaysill/soak/Journal.java
@@ -7,9 +7,9 @@
 import org.carawaysill.model.request.Invariant;
 
 /**
- * The end of a schedule and the breaches found in it.
+ * Keeps the last lines of a schedule's log and all breaches of invariants found in it.
  *
- * <p>Invariant: bounded; the oldest lines go first. Not thread safe: one schedule owns it.
+ * <p>Invariant: keeps a bounded number of lines and discards the oldest first. Not thread safe: one schedule owns it.
  */
 final class Journal {
 
--- a/soak/src/main/java/org/carawaysill/soak/Schedule.java
+++ b/soak/src/main/java/org/carawaysill/soak/Schedule.java
@@ -13,8 +13,8 @@
 import org.carawaysill.model.request.Invariant;
 
 /**
- * One random schedule: a small fleet, callers, and faults that come at any moment, together or twice, then a calm end in
- * which everything must be well again.
+ * One random schedule: a small fleet, callers, and faults that start at random times, may overlap and may repeat. No
+ * fault starts in the last part, by whose end the fleet must have recovered.
  *
  * <p>Invariant: the seed determines the schedule. Not thread safe: one thread runs it.
  */
@@ -22,17 +22,17 @@
 
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final long WARM_UP = 8 * SECOND;
-    private static final long TROUBLE_END = 28 * SECOND;
+    private static final long FAULTS_END = 28 * SECOND;
     private static final long CALM_START = 40 * SECOND;
     private static final long END = 46 * SECOND;
     private static final int REQUESTS_PER_SECOND = 30;
 
     private final RandomGenerator random;
-    private final Agenda agenda = new Agenda();
+    private final EventQueue eventQueue = new EventQueue();
     private final Journal journal;
-    private final Documents documents = new Documents();
+    private final CachingDocumentParser documentParser = new CachingDocumentParser();
     private final RunLog runLog;
-    private final SimulatedPlatform platform = new SimulatedPlatform(agenda, documents);
+    private final SimulatedPlatform platform = new SimulatedPlatform(eventQueue, documentParser);
     private final SimulatedNetwork network;
     private final Clients clients;
     private final Map<NodeName, SimulatedNode> nodes = new TreeMap<>();
@@ -40,23 +40,23 @@
     private int entryRosters = 1;
     private double pauseRate;
     private double copyFailureRate;
-    private double slowness = 1;
+    private double workTimeFactor = 1;
 
     Schedule(long seed, int linesKept) {
         random = new SplittableRandom(seed);
         journal = new Journal(linesKept);
-        runLog = new RunLog(agenda, journal);
-        network = new SimulatedNetwork(agenda, random);
+        runLog = new RunLog(eventQueue, journal);
+        network = new SimulatedNetwork(eventQueue, random);
         clients = new Clients(this, random);
     }
 
     Result run() {
         startFleet();
-        agenda.at(WARM_UP - SECOND, this::sendRequests);
-        agenda.at(WARM_UP, this::nextFault);
-        agenda.at(TROUBLE_END, this::calmDown);
-        agenda.runUntil(END);
-        clients.judge(entryRosters);
+        eventQueue.at(WARM_UP - SECOND, this::sendRequests);
+        eventQueue.at(WARM_UP, this::injectNextFault);
+        eventQueue.at(FAULTS_END, this::publishFinalDocuments);
+        eventQueue.runUntil(END);
+        clients.checkOutcomes(entryRosters);
         checkConvergence();
         return new Result(journal.breaches(), journal.end(), clients.sent(CALM_START), clients.answered(CALM_START));
     }
@@ -66,7 +66,7 @@
             List<NodeName> roster = new ArrayList<>(Topology.nodes(service, 3));
             rosters.put(service, roster);
             publish(service);
-            roster.forEach(node -> agenda.in(random.nextLong(SECOND), () -> startNew(node)));
+            roster.forEach(node -> eventQueue.in(random.nextLong(SECOND), () -> startNew(node)));
         }
     }
 
@@ -82,37 +82,38 @@
     }
 
     private void sendRequests() {
-        if (agenda.now() < END - 2 * SECOND) {
+        if (eventQueue.now() < END - 2 * SECOND) {
             clients.send();
-            agenda.in(random.nextLong(2 * SECOND / REQUESTS_PER_SECOND), this::sendRequests);
+            eventQueue.in(random.nextLong(2 * SECOND / REQUESTS_PER_SECOND), this::sendRequests);
         }
     }
 
-    private void nextFault() {
-        if (agenda.now() >= TROUBLE_END) {
+    private void injectNextFault() {
+        if (eventQueue.now() >= FAULTS_END) {
             return;
         }
         Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
-        journal.note(agenda.now(), "fault: " + fault);
+        journal.note(eventQueue.now(), "fault: " + fault);
         apply(fault);
-        agenda.in(random.nextLong(2 * SECOND), this::nextFault);
+        eventQueue.in(random.nextLong(2 * SECOND), this::injectNextFault);
     }
 
     private void apply(Fault fault) {
         long length = random.nextLong(6 * SECOND);
         switch (fault) {
-            case KILL_NODE -> killAndRestart(anyNode(), length);
-            case PAUSE_NODE -> anyNode().pause(length);
+            case KILL_NODE -> killAndRestart(randomNode(), length);
+            case PAUSE_NODE -> randomNode().pause(length);
             case PAUSES_EVERYWHERE -> during(length, () -> pauseRate = 0.002, () -> pauseRate = 0);
-            case LOSS -> during(length, () -> network.trouble(0.2, 0.02), () -> network.trouble(0, 0));
+            case LOSS ->
+                during(length, () -> network.setMessageFaults(0.2, 0.02), () -> network.setMessageFaults(0, 0));
             case PARTITION -> during(length, this::partition, network::heal);
             case PLATFORM_DOWN -> during(length, () -> platform.down(true), () -> platform.down(false));
             case PLATFORM_STALE -> during(length, () -> platform.stale(true), () -> platform.stale(false));
             case PUBLISH -> publish(random.nextBoolean() ? Topology.ENTRY : Topology.DEEP);
             case INVALID_DOCUMENT -> platform.publish(Topology.ENTRY, "service = 7");
             case ROSTER_CHANGE -> changeRoster(random.nextBoolean() ? Topology.ENTRY : Topology.DEEP);
-            case PLANNED_STOP -> drainAndRestart(anyNode(), length);
-            case SLOW_COPIES -> during(length, () -> slowness = 6, () -> slowness = 1);
+            case PLANNED_STOP -> drainAndRestart(randomNode(), length);
+            case SLOW_COPIES -> during(length, () -> workTimeFactor = 6, () -> workTimeFactor = 1);
             case COPY_FAILURES -> during(length, () -> copyFailureRate = 0.1, () -> copyFailureRate = 0);
             default -> throw new IllegalStateException("no such fault: " + fault);
         }
@@ -120,23 +121,23 @@
 
     private void during(long length, Runnable begin, Runnable end) {
         begin.run();
-        agenda.in(length, end);
+        eventQueue.in(length, end);
     }
 
     private void killAndRestart(SimulatedNode node, long length) {
         if (node.alive()) {
             node.kill();
-            agenda.in(length, node::start);
+            eventQueue.in(length, node::start);
         }
     }
 
     private void drainAndRestart(SimulatedNode node, long length) {
         if (node.alive() && !node.draining()) {
             node.drain();
-            agenda.in(random.nextLong(3 * SECOND), () -> platform.leaving(node.name()));
-            agenda.in(8 * SECOND + length, () -> {
+            eventQueue.in(random.nextLong(3 * SECOND), () -> platform.leaving(node.name()));
+            eventQueue.in(8 * SECOND + length, () -> {
                 if (node.alive() && node.draining()) {
-                    journal.breach(agenda.now(), Invariant.GRACEFUL_STOP, "never stopped: " + node.describe());
+                    journal.breach(eventQueue.now(), Invariant.GRACEFUL_STOP, "never stopped: " + node.describe());
                     node.kill();
                 }
                 if (!node.alive()) {
@@ -152,7 +153,7 @@
         network.partition(sides);
     }
 
-    /** Replaces one VM of a roster; the old one goes on for a while, as a VM does that has not heard of it. */
+    /** Replaces one VM of a roster; the old one runs on for a while, as a VM does that has not received the new roster. */
     private void changeRoster(ServiceName service) {
         List<NodeName> roster = rosters.get(service);
         NodeName old = roster.remove(random.nextInt(roster.size()));
@@ -163,7 +164,7 @@
         }
         startNew(added);
         publish(service);
-        agenda.in(random.nextLong(8 * SECOND), () -> {
+        eventQueue.in(random.nextLong(8 * SECOND), () -> {
             platform.gone(old);
             if (nodes.get(old).alive()) {
                 nodes.get(old).kill();
@@ -171,7 +172,7 @@
         });
     }
 
-    private void calmDown() {
+    private void publishFinalDocuments() {
         publish(Topology.ENTRY);
         publish(Topology.DEEP);
     }
@@ -182,20 +183,20 @@
             long version = node.versions().getOrDefault(service, 0L);
             if (node.alive() && !node.draining() && version != platform.version(service)) {
                 journal.breach(
-                        agenda.now(),
+                        eventQueue.now(),
                         Invariant.VERSION_NEVER_FALLS,
                         name + " has version " + version + " long after " + platform.version(service));
             }
         }));
     }
 
-    private SimulatedNode anyNode() {
+    private SimulatedNode randomNode() {
         List<SimulatedNode> all = List.copyOf(nodes.values());
         return all.get(random.nextInt(all.size()));
     }
 
-    /** Callers know the VMs by an old list: also nodes that have left the roster. */
-    SimulatedNode anyEntryNode() {
+    /** Returns a random entry node, including nodes that have left the roster, since callers may use an old list. */
+    SimulatedNode randomEntryNode() {
         List<SimulatedNode> entries = nodes.values().stream()
                 .filter(node -> Topology.serviceOf(node.name()).equals(Topology.ENTRY))
                 .toList();
@@ -203,19 +204,19 @@
     }
 
     long now() {
-        return agenda.now();
+        return eventQueue.now();
     }
 
-    Agenda agenda() {
-        return agenda;
+    EventQueue eventQueue() {
+        return eventQueue;
     }
 
     Journal journal() {
         return journal;
     }
 
-    Documents documents() {
-        return documents;
+    CachingDocumentParser documentParser() {
+        return documentParser;
     }
 
     RunLog runLog() {
@@ -238,7 +239,7 @@
         return pauseRate;
     }
 
-    long longestPause() {
+    long maximumPauseNanos() {
         return 4 * SECOND;
     }
 
@@ -246,8 +247,8 @@
         return copyFailureRate;
     }
 
-    double slowness() {
-        return slowness;
+    double workTimeFactor() {
+        return workTimeFactor;
     }
 
     private enum Fault {
@@ -267,11 +268,11 @@
     }
 
     /**
-     * What a schedule came to.
+     * The result of a schedule.
      *
      * @param breaches each breach of an invariant
      * @param end the last lines of the journal
-     * @param calmSent requests sent in the calm end
+     * @param calmSent requests sent in the last part, after the faults
      * @param calmAnswered how many of them were answered
      */
     record Result(List<String> breaches, List<String> end, long calmSent, long calmAnswered) {}
--- a/soak/src/main/java/org/carawaysill/soak/SimulatedCopy.java
+++ b/soak/src/main/java/org/carawaysill/soak/SimulatedCopy.java
@@ -20,7 +20,7 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * An upstream copy, which outlives the process of its node and goes on with what it has begun.
+ * Simulates an upstream copy, which outlives the process of its node and finishes the requests that it has started.
  *
  * <p>Not thread safe: one schedule owns it.
  */
@@ -59,7 +59,7 @@
             refuse(attempt, RefusalReason.COPY_UNREACHABLE);
             return;
         }
-        if (node.leftLongAgo(LEAVING_GRACE_NANOS)) {
+        if (node.drainingLongerThan(LEAVING_GRACE_NANOS)) {
             schedule.journal()
                     .breach(schedule.now(), Invariant.NO_WORK_WHEN_LEAVING, node.name() + " got work while leaving");
         }
@@ -69,9 +69,9 @@
         schedule.runLog().started(key, operation, node.name().value());
         running.put(attempt, true);
         long incarnation = node.incarnation();
-        schedule.agenda().in(workNanos(), () -> {
+        schedule.eventQueue().in(workNanos(), () -> {
             if (entry && running.containsKey(attempt)) {
-                callDeeper(incarnation, hand);
+                callDeepService(incarnation, hand);
             } else {
                 finish(incarnation, attempt, OK, key);
             }
@@ -84,10 +84,10 @@
     }
 
     private long workNanos() {
-        return (long) (random.nextLong(2_000_000L, 30_000_000L) * schedule.slowness());
+        return (long) (random.nextLong(2_000_000L, 30_000_000L) * schedule.workTimeFactor());
     }
 
-    private void callDeeper(long incarnation, Effect.HandToCopy hand) {
+    private void callDeepService(long incarnation, Effect.HandToCopy hand) {
         String key = hand.content().header(Clients.KEY_HEADER).orElseThrow();
         if (!node.alive() || node.incarnation() != incarnation) {
             running.remove(hand.attempt());
@@ -97,13 +97,13 @@
         RequestContent content = hand.content();
         node.open(
                 exchange,
-                outcome -> finish(incarnation, hand.attempt(), deeperStatus(key, outcome), key),
+                outcome -> finish(incarnation, hand.attempt(), deepServiceStatus(key, outcome), key),
                 new Event.CopyCall(exchange, Topology.DEEP, Optional.of(hand.attempt()), content));
     }
 
-    private int deeperStatus(String key, Optional<Outcome> outcome) {
+    private int deepServiceStatus(String key, Optional<Outcome> outcome) {
         if (outcome.isPresent() && outcome.get() instanceof Outcome.Answered(AnswerContent answer)) {
-            schedule.clients().checkOwn(key, answer);
+            schedule.clients().checkOwnAnswer(key, answer);
             return answer.status();
         }
         return BAD_GATEWAY;
--- a/soak/src/main/java/org/carawaysill/soak/SimulatedNetwork.java
+++ b/soak/src/main/java/org/carawaysill/soak/SimulatedNetwork.java
@@ -13,19 +13,20 @@
 import org.carawaysill.policy.message.PeerMessage;
 
 /**
- * Connections between nodes that lose, double, delay and reorder messages, and that a partition silences before it breaks
- * them.
+ * Simulates connections between nodes that lose, duplicate, delay and reorder messages. A partition first drops the
+ * messages of a connection and later breaks it.
  *
- * <p>Invariant: a message never outlives its connection or a process at either end. Not thread safe: one schedule owns it.
+ * <p>Invariant: a message is never delivered after its connection or a process at either end has ended. Not thread safe:
+ * one schedule owns it.
  */
 final class SimulatedNetwork {
 
     private static final long RECONNECT_NANOS = 150_000_000L;
     private static final long SILENCE_BEFORE_BREAK_NANOS = 2_500_000_000L;
-    private static final long USUAL_DELAY_NANOS = 3_000_000L;
-    private static final long LONG_DELAY_NANOS = 2_000_000_000L;
+    private static final long MAXIMUM_USUAL_DELAY_NANOS = 3_000_000L;
+    private static final long MAXIMUM_LONG_DELAY_NANOS = 2_000_000_000L;
 
-    private final Agenda agenda;
+    private final EventQueue eventQueue;
     private final RandomGenerator random;
     private final Map<NodeName, SimulatedNode> nodes = new HashMap<>();
     private final Set<Direction> wanted = new HashSet<>();
@@ -35,8 +36,8 @@
     private double lossRate;
     private double longDelayRate;
 
-    SimulatedNetwork(Agenda agenda, RandomGenerator random) {
-        this.agenda = agenda;
+    SimulatedNetwork(EventQueue eventQueue, RandomGenerator random) {
+        this.eventQueue = eventQueue;
         this.random = random;
     }
 
@@ -44,31 +45,31 @@
         nodes.put(node.name(), node);
     }
 
-    void trouble(double loss, double longDelay) {
+    void setMessageFaults(double loss, double longDelay) {
         lossRate = loss;
         longDelayRate = longDelay;
     }
 
-    /** Cuts the nodes into sides that don't hear each other. */
+    /** Divides the nodes into sides that don't receive each other's messages. */
     void partition(Map<NodeName, Integer> newSides) {
         sides.clear();
         sides.putAll(newSides);
         Map<Pair, Long> silenced = new LinkedHashMap<>(connections);
-        silenced.keySet().removeIf(pair -> hear(pair.first(), pair.second()));
+        silenced.keySet().removeIf(pair -> onSameSide(pair.first(), pair.second()));
         silenced.forEach(
-                (pair, connection) -> agenda.in(SILENCE_BEFORE_BREAK_NANOS, () -> breakIfSilent(pair, connection)));
+                (pair, connection) -> eventQueue.in(SILENCE_BEFORE_BREAK_NANOS, () -> breakIfSilent(pair, connection)));
     }
 
     void heal() {
         sides.clear();
     }
 
-    private boolean hear(NodeName first, NodeName second) {
+    private boolean onSameSide(NodeName first, NodeName second) {
         return sides.getOrDefault(first, 0).equals(sides.getOrDefault(second, 0));
     }
 
     private void breakIfSilent(Pair pair, long connection) {
-        if (!hear(pair.first(), pair.second())
+        if (!onSameSide(pair.first(), pair.second())
                 && Optional.of(connection).equals(Optional.ofNullable(connections.get(pair)))) {
             breakConnection(pair);
         }
@@ -76,15 +77,15 @@
 
     private void breakConnection(Pair pair) {
         connections.remove(pair);
-        lose(pair.first(), pair.second());
-        lose(pair.second(), pair.first());
+        reportLostConnection(pair.first(), pair.second());
+        reportLostConnection(pair.second(), pair.first());
     }
 
-    private void lose(NodeName node, NodeName peer) {
+    private void reportLostConnection(NodeName node, NodeName peer) {
         SimulatedNode side = nodes.get(node);
         side.deliver(side.incarnation(), new Event.PeerLost(peer));
         if (wanted.contains(new Direction(node, peer))) {
-            agenda.in(RECONNECT_NANOS, () -> dial(node, peer));
+            eventQueue.in(RECONNECT_NANOS, () -> dial(node, peer));
         }
     }
 
@@ -97,7 +98,7 @@
 
     void connect(NodeName from, NodeName to) {
         wanted.add(new Direction(from, to));
-        agenda.in(delay(), () -> dial(from, to));
+        eventQueue.in(delay(), () -> dial(from, to));
     }
 
     void disconnect(NodeName from, NodeName to) {
@@ -115,8 +116,8 @@
         }
         SimulatedNode caller = nodes.get(from);
         SimulatedNode callee = nodes.get(to);
-        if (callee == null || !callee.alive() || !hear(from, to)) {
-            agenda.in(RECONNECT_NANOS, () -> dial(from, to));
+        if (callee == null || !callee.alive() || !onSameSide(from, to)) {
+            eventQueue.in(RECONNECT_NANOS, () -> dial(from, to));
             return;
         }
         connectionSequence++;
@@ -133,20 +134,20 @@
         }
         int copies = random.nextDouble() < lossRate ? random.nextInt(3) : 1;
         for (int i = 0; i < copies; i++) {
-            agenda.in(delay(), () -> arrive(from.name(), to, connection, message));
+            eventQueue.in(delay(), () -> arrive(from.name(), to, connection, message));
         }
     }
 
     private void arrive(NodeName from, NodeName to, long connection, PeerMessage message) {
         Long present = connections.get(Pair.of(from, to));
-        if (present != null && present == connection && hear(from, to)) {
+        if (present != null && present == connection && onSameSide(from, to)) {
             SimulatedNode receiver = nodes.get(to);
             receiver.deliver(receiver.incarnation(), new Event.PeerReceived(from, message));
         }
     }
 
     private long delay() {
-        long bound = random.nextDouble() < longDelayRate ? LONG_DELAY_NANOS : USUAL_DELAY_NANOS;
+        long bound = random.nextDouble() < longDelayRate ? MAXIMUM_LONG_DELAY_NANOS : MAXIMUM_USUAL_DELAY_NANOS;
         return random.nextLong(200_000L, bound);
     }
 
--- a/soak/src/main/java/org/carawaysill/soak/SimulatedNode.java
+++ b/soak/src/main/java/org/carawaysill/soak/SimulatedNode.java
@@ -27,9 +27,10 @@
 import org.carawaysill.policy.time.Moment;
 
 /**
- * One node: the real policy, with clocks, adapters and a process that can be paused, killed and started again.
+ * A node that runs the real policy with simulated clocks and adapters, in a process that can be paused, killed and
+ * started again.
  *
- * <p>Invariant: nothing reaches a process that started after it was sent. Not thread safe: one schedule owns it.
+ * <p>Invariant: no event reaches a process that started after the event was sent. Not thread safe: one schedule owns it.
  */
 final class SimulatedNode {
 
@@ -37,7 +38,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long STOP_LIMIT_NANOS = 20_000_000_000L;
     private static final long STOP_CHECK_NANOS = 20_000_000L;
-    private static final long EARLIEST_WAKE_NANOS = 100_000L;
+    private static final long MINIMUM_WAKE_DELAY_NANOS = 100_000L;
 
     private final NodeName name;
     private final Schedule schedule;
@@ -47,7 +48,7 @@
     private final Map<ServiceName, Long> versions = new HashMap<>();
     private final Deque<Runnable> backlog = new ArrayDeque<>();
     private Optional<NodePolicy> policy = Optional.empty();
-    private boolean workingOff;
+    private boolean runningBacklog;
     private String status = "";
     private long incarnation;
     private long monotonicOrigin;
@@ -75,7 +76,7 @@
         return policy.isPresent();
     }
 
-    /** Describes the node for the journal. */
+    /** Returns a description of the node for the journal. */
     String describe() {
         return name + " with " + exchanges.size() + " exchanges, " + copy.running() + " runs, " + status;
     }
@@ -100,13 +101,13 @@
                 identity,
                 self,
                 PolicySettings.DEFAULTS,
-                schedule.documents(),
+                schedule.documentParser(),
                 new SplittableRandom(random.nextLong()),
                 now));
         pausedUntil = 0;
         drainedAt = Long.MAX_VALUE;
         versions.clear();
-        schedule.platform().listed(name);
+        schedule.platform().addVm(name);
         deliver(incarnation, new Event.WakeUp());
     }
 
@@ -122,7 +123,7 @@
 
     void pause(long nanos) {
         schedule.journal().note(schedule.now(), name + " is paused");
-        // A second pause never shortens the first: what waits for its end would else be overtaken.
+        // A second pause must not shorten the first: later events would overtake those that wait for its end.
         pausedUntil = Math.max(pausedUntil, schedule.now() + nanos);
     }
 
@@ -132,7 +133,7 @@
         deliver(incarnation, new Event.DrainOrdered());
     }
 
-    /** Opens an exchange whose outcome goes to the waiter; empty when the process ends before it answers. */
+    /** Opens an exchange and passes its outcome to the waiter, or empty if the process ends before it answers. */
     void open(ExchangeIdentifier exchange, Consumer<Optional<Outcome>> waiter, Event request) {
         if (!alive()) {
             waiter.accept(Optional.empty());
@@ -148,36 +149,36 @@
         }
     }
 
-    /** Brings an event; a paused process takes it, in order, when it wakes. */
+    /** Delivers an event; a paused process handles its events in order when the pause ends. */
     void deliver(long toIncarnation, Event event) {
         backlog.addLast(() -> {
             if (alive() && toIncarnation == incarnation) {
                 decide(event);
             }
         });
-        workOff();
+        runBacklog();
     }
 
-    private void workOff() {
-        if (workingOff) {
+    private void runBacklog() {
+        if (runningBacklog) {
             return;
         }
-        workingOff = true;
+        runningBacklog = true;
         while (!backlog.isEmpty() && schedule.now() >= pausedUntil) {
             backlog.removeFirst().run();
         }
-        workingOff = false;
+        runningBacklog = false;
         if (!backlog.isEmpty()) {
-            schedule.agenda().at(pausedUntil, this::workOff);
+            schedule.eventQueue().at(pausedUntil, this::runBacklog);
         }
     }
 
-    /** The effects of a decision go before whatever came after it; a pause may fall between any two of them. */
+    /** Puts the effects of a decision before all later events; a pause may occur between any two effects. */
     private void decide(Event event) {
-        long decidedBy = incarnation;
+        long decidingIncarnation = incarnation;
         List<Effect> effects = policy.orElseThrow().decide(moment(), event);
         for (Effect effect : effects.reversed()) {
-            backlog.addFirst(() -> execute(decidedBy, effect));
+            backlog.addFirst(() -> execute(decidingIncarnation, effect));
         }
         scheduleWake();
     }
@@ -187,13 +188,13 @@
         if (due == Long.MAX_VALUE) {
             return;
         }
-        long at = Math.max(due - monotonicOrigin, schedule.now() + EARLIEST_WAKE_NANOS);
+        long at = Math.max(due - monotonicOrigin, schedule.now() + MINIMUM_WAKE_DELAY_NANOS);
         if (at >= wakeAt) {
             return;
         }
         wakeAt = at;
         long wokenIncarnation = incarnation;
-        schedule.agenda().at(at, () -> {
+        schedule.eventQueue().at(at, () -> {
             if (wakeAt == at && wokenIncarnation == incarnation) {
                 wakeAt = Long.MAX_VALUE;
                 deliver(wokenIncarnation, new Event.WakeUp());
@@ -201,12 +202,12 @@
         });
     }
 
-    private void execute(long decidedBy, Effect effect) {
-        if (!alive() || decidedBy != incarnation) {
+    private void execute(long decidingIncarnation, Effect effect) {
+        if (!alive() || decidingIncarnation != incarnation) {
             return;
         }
         if (random.nextDouble() < schedule.pauseRate()) {
-            pause(random.nextLong(schedule.longestPause()));
+            pause(random.nextLong(schedule.maximumPauseNanos()));
         }
         switch (effect) {
             case Effect.HandToCopy hand -> copy.run(hand, moment().nanos());
@@ -261,21 +262,24 @@
         });
     }
 
-    /** The process ends once the requests that arrived while the policy decided to stop are answered too. */
+    /** Ends the process once the requests that arrived while the policy decided to stop are answered too. */
     private void stop() {
         if (copy.busy() || schedule.now() - drainedAt > STOP_LIMIT_NANOS) {
             schedule.journal()
                     .breach(schedule.now(), Invariant.GRACEFUL_STOP, name + " stopped with requests in flight");
         } else if (!exchanges.isEmpty()) {
             long stopping = incarnation;
-            schedule.agenda().in(STOP_CHECK_NANOS, () -> execute(stopping, new Effect.StopProcess()));
+            schedule.eventQueue().in(STOP_CHECK_NANOS, () -> execute(stopping, new Effect.StopProcess()));
             return;
         }
         kill();
     }
 
-    /** New work some seconds after the order to leave would be a breach; what the node accepted before may go on. */
-    boolean leftLongAgo(long graceNanos) {
+    /**
+     * Returns whether the node has been draining for longer than the grace period. New work after it is a breach;
+     * requests accepted before may finish.
+     */
+    boolean drainingLongerThan(long graceNanos) {
         return draining() && schedule.now() - drainedAt > graceNanos;
     }
 
--- a/soak/src/main/java/org/carawaysill/soak/SimulatedPlatform.java
+++ b/soak/src/main/java/org/carawaysill/soak/SimulatedPlatform.java
@@ -16,7 +16,8 @@
 import org.carawaysill.policy.event.Event;
 
 /**
- * The platform's configuration service and list of VMs: versions that rise, replicas that may be stale, outages, lag.
+ * Simulates the platform's configuration service and VM list, with rising versions, stale replicas, outages and read
+ * delays.
  *
  * <p>Not thread safe: one schedule owns it.
  */
@@ -24,8 +25,8 @@
 
     private static final long READ_NANOS = 3_000_000L;
 
-    private final Agenda agenda;
-    private final Documents documents;
+    private final EventQueue eventQueue;
+    private final CachingDocumentParser documentParser;
     private final Map<ServiceName, Document> published = new HashMap<>();
     private final Map<ServiceName, Document> stale = new HashMap<>();
     private final List<Watch> watches = new ArrayList<>();
@@ -36,9 +37,9 @@
     private boolean down;
     private boolean servesStale;
 
-    SimulatedPlatform(Agenda agenda, Documents documents) {
-        this.agenda = agenda;
-        this.documents = documents;
+    SimulatedPlatform(EventQueue eventQueue, CachingDocumentParser documentParser) {
+        this.eventQueue = eventQueue;
+        this.documentParser = documentParser;
     }
 
     void publish(ServiceName service, String text) {
@@ -53,13 +54,13 @@
         return published.get(service).version();
     }
 
-    /** An outage fails the waiting watches too. */
+    /** Starts or ends an outage, which also fails the waiting watches. */
     void down(boolean isDown) {
         down = isDown;
         answerWaiting();
     }
 
-    /** A replica that has caught up answers the watches that waited meanwhile. */
+    /** Starts or ends serving from a stale replica; once it has caught up, it answers the waiting watches. */
     void stale(boolean isStale) {
         servesStale = isStale;
         stale.clear();
@@ -73,7 +74,7 @@
         waiting.forEach(this::answer);
     }
 
-    void listed(NodeName node) {
+    void addVm(NodeName node) {
         known.add(node);
         gone.remove(node);
         leaving.remove(node);
@@ -88,7 +89,7 @@
     }
 
     void read(SimulatedNode node, Effect.ReadConfiguration read) {
-        agenda.in(READ_NANOS, () -> answer(new Watch(node, node.incarnation(), read, false)));
+        eventQueue.in(READ_NANOS, () -> answer(new Watch(node, node.incarnation(), read, false)));
     }
 
     private void answer(Watch watch) {
@@ -97,12 +98,12 @@
         if (down || document == null) {
             watch.deliver(new Event.ConfigurationReadFailed(service, Step.CONFIGURATION, "platform down"));
         } else if (document.version() > watch.read().knownVersion()) {
-            watch.deliver(documents.event(service, document.version(), document.text()));
+            watch.deliver(documentParser.event(service, document.version(), document.text()));
         } else if (watch.expired() || watch.read().patience().isZero()) {
             watch.deliver(new Event.ConfigurationUnchanged(service));
         } else {
             watches.add(watch);
-            agenda.in(watch.read().patience().toNanos(), () -> {
+            eventQueue.in(watch.read().patience().toNanos(), () -> {
                 if (watches.remove(watch)) {
                     answer(new Watch(watch.node(), watch.incarnation(), watch.read(), true));
                 }
@@ -112,7 +113,7 @@
 
     void readVmList(SimulatedNode node) {
         long incarnation = node.incarnation();
-        agenda.in(READ_NANOS, () -> {
+        eventQueue.in(READ_NANOS, () -> {
             Map<NodeName, VmState> states = new TreeMap<>();
             known.stream()
                     .filter(vm -> !gone.contains(vm))
--- a/soak/src/main/java/org/carawaysill/soak/SoakMain.java
+++ b/soak/src/main/java/org/carawaysill/soak/SoakMain.java
@@ -7,9 +7,9 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Runs the policy of a few nodes under random schedules with every invariant on.
+ * Runs the policy of a few nodes under random schedules and checks every invariant.
  *
- * <p>Not thread safe: one thread runs it; it spreads schedules over the common pool.
+ * <p>Not thread safe: one thread runs it; the schedules run in parallel on the common pool.
  */
 public final class SoakMain {
 
--- a/soak/src/main/java/org/carawaysill/soak/Topology.java
+++ b/soak/src/main/java/org/carawaysill/soak/Topology.java
@@ -7,7 +7,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * The two services of a schedule: an entry service, whose copies call a deeper one.
+ * Defines the two services of a schedule: an entry service, whose copies call a deeper service.
  *
  * <p>Stateless and thread safe.
  */
@@ -50,7 +50,7 @@
         return nodes;
     }
 
-    /** Writes a document; the comment makes a new version differ where nothing else does. */
+    /** Returns a service's document; the comment makes versions differ that are otherwise the same. */
     static String document(ServiceName service, List<NodeName> roster, String comment) {
         return "# " + comment + "\nservice = \"" + service + "\"\n"
                 + (service.equals(ENTRY) ? "calls = [\"deep\"]\n" : "calls = []\n")
--- a/soak/src/main/java/org/carawaysill/soak/package-info.java
+++ b/soak/src/main/java/org/carawaysill/soak/package-info.java
@@ -1,4 +1,4 @@
-/** Long randomised runs of the policy. */
+/** Runs the policy of simulated fleets under long random schedules of faults. */
 @NullMarked
 package org.carawaysill.soak;
 
--- a/soak/src/test/java/org/carawaysill/soak/ScheduleTest.java
+++ b/soak/src/test/java/org/carawaysill/soak/ScheduleTest.java
@@ -21,8 +21,8 @@
     class Invariants {
 
         /*
-         * A caller sees an issuance twice, or is told "not run" of one that ran. Seeds 6, 22 and 33: a message that the
-         * network doubled arrives again after its first was answered or refused, and the node runs it a second time.
+         * Guards against a request that runs twice, or that runs although its caller got "not run". Seeds 6, 22 and 33: the
+         * network duplicates a message, and the node runs the duplicate after it has answered or refused the original.
          */
         @ParameterizedTest
         @ValueSource(longs = {6, 22, 33})
@@ -31,8 +31,8 @@
         }
 
         /*
-         * An operator orders a planned stop and the node never ends. Seeds 36, 1292 and 1023: callers go on sending to the
-         * draining node, which passes their requests on, so that at no moment is it without a request in flight.
+         * Guards against a planned stop that never ends. Seeds 36, 1292 and 1023: callers keep sending to the draining node,
+         * which forwards their requests, so that it always has a request in flight.
          */
         @ParameterizedTest
         @ValueSource(longs = {36, 1292, 1023})
@@ -41,8 +41,8 @@
         }
 
         /*
-         * A caller is told "not run" by a node that has no configuration yet; two seconds later the request runs. The
-         * network doubled the message, and its second copy arrived after the node had become ready.
+         * Guards against a request that runs although its caller got "not run". A node without configuration refuses a
+         * message that the network has duplicated; the duplicate arrives two seconds later, when the node is ready, and runs.
          */
         @ParameterizedTest
         @ValueSource(longs = 7046)
