--- a/standin/src/main/java/org/carawaysill/standin/StandinMain.java
+++ b/standin/src/main/java/org/carawaysill/standin/StandinMain.java
@@ -36,7 +36,7 @@
     private StandinMain() {}
 
     /**
-     * Starts the program, which then runs until it is ended.
+     * Starts the program, which then runs until it is stopped.
      *
      * @param arguments the sub-command and its flags
      */
@@ -48,8 +48,8 @@
      * Starts the program.
      *
      * @param arguments the sub-command and its flags
-     * @param output where the help goes
-     * @param errors where the line on a wrong command line goes
+     * @param output the stream for the help text
+     * @param errors the stream for error messages
      * @return the exit code, or empty while the program runs
      */
     static OptionalInt run(List<String> arguments, PrintStream output, PrintStream errors) {
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Lets a copy's requests in flight finish before the process ends on a signal. Guards against a planned stop that cuts them
-     * off: without it their callers see reset connections. Holds because the server takes nothing new meanwhile.
+     * Lets a copy's requests in flight finish before the process ends on a signal. Without it a planned stop would cut
+     * them off and their callers would see reset connections. The server accepts no new requests meanwhile.
      */
     private static void finishRequests(HttpServer server) {
         server.shutdown(GRACE_SECONDS, TimeUnit.SECONDS).await();
--- a/standin/src/main/java/org/carawaysill/standin/command/CommandLine.java
+++ b/standin/src/main/java/org/carawaysill/standin/command/CommandLine.java
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.OptionHandlerFilter;
 import org.kohsuke.args4j.ParserProperties;
 
-/** Reads the command line. No state; thread safe. */
+/** Parses the command line. No state; thread safe. */
 public final class CommandLine {
 
     private static final String PROGRAM = "carawaysill-standin";
@@ -16,10 +16,10 @@
     private CommandLine() {}
 
     /**
-     * Reads the sub-command and its flags.
+     * Parses the sub-command and its flags.
      *
      * @param arguments the words of the command line
-     * @return the sub-command; where it asks for help, its other fields need not be filled in
+     * @return the sub-command; if it asks for help, its other fields may be unset
      * @throws UsageException if they can't be used
      */
     public static Subcommand parse(List<String> arguments) {
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Tells whether the help of the whole program is asked for.
+     * Returns whether the help of the whole program is requested.
      *
      * @param arguments the words of the command line
      * @return whether the first is {@code --help}
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Writes the help of the whole program.
+     * Returns the help of the whole program.
      *
      * @return some lines
      */
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Writes the help of a sub-command.
+     * Returns the help of a sub-command.
      *
      * @param subcommand the sub-command
      * @return some lines
--- a/standin/src/main/java/org/carawaysill/standin/command/ConfigurationCommand.java
+++ b/standin/src/main/java/org/carawaysill/standin/command/ConfigurationCommand.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Gives the settings.
+     * Returns the settings.
      *
      * @return the settings
      */
--- a/standin/src/main/java/org/carawaysill/standin/command/SocketAddressHandler.java
+++ b/standin/src/main/java/org/carawaysill/standin/command/SocketAddressHandler.java
@@ -6,17 +6,17 @@
 import org.kohsuke.args4j.spi.OneArgumentOptionHandler;
 import org.kohsuke.args4j.spi.Setter;
 
-/** Reads {@code HOST:PORT}. Not thread safe: used by the main thread only. */
+/** Parses {@code HOST:PORT}. Not thread safe: used by the main thread only. */
 public final class SocketAddressHandler extends OneArgumentOptionHandler<SocketAddress> {
 
     private static final int MAXIMUM_PORT = 65_535;
 
     /**
-     * Makes a handler, as args4j asks for it.
+     * Creates a handler with the parameters that args4j requires.
      *
      * @param parser the parser
      * @param option the flag
-     * @param setter where the value goes
+     * @param setter the setter of the field
      */
     public SocketAddressHandler(CmdLineParser parser, OptionDef option, Setter<? super SocketAddress> setter) {
         super(parser, option, setter);
--- a/standin/src/main/java/org/carawaysill/standin/command/Subcommand.java
+++ b/standin/src/main/java/org/carawaysill/standin/command/Subcommand.java
@@ -1,15 +1,15 @@
 package org.carawaysill.standin.command;
 
 /**
- * What the program is asked to stand in for. The fields of the implementations are filled in by args4j and read once,
- * when the settings are made of them.
+ * A sub-command, one for each kind of stand-in. Args4j fills the fields of the implementations; they are read once, when
+ * the settings are created.
  *
  * <p>Not thread safe: used by the main thread only.
  */
 public sealed interface Subcommand permits ConfigurationCommand, VmListCommand, UpstreamCommand {
 
     /**
-     * Tells whether only the help is wanted.
+     * Returns whether the help is requested.
      *
      * @return whether the flag {@code --help} was given
      */
--- a/standin/src/main/java/org/carawaysill/standin/command/UpstreamCommand.java
+++ b/standin/src/main/java/org/carawaysill/standin/command/UpstreamCommand.java
@@ -84,10 +84,10 @@
     }
 
     /**
-     * Gives the settings.
+     * Returns the settings.
      *
      * @return the settings
-     * @throws IllegalArgumentException if they do not fit each other or the graph; the message is one line
+     * @throws IllegalArgumentException if they contradict each other or the graph; the message is one line
      */
     public UpstreamSettings settings() {
         return UpstreamSettings.builder(serviceGraph(), name, listen)
--- a/standin/src/main/java/org/carawaysill/standin/command/UsageException.java
+++ b/standin/src/main/java/org/carawaysill/standin/command/UsageException.java
@@ -1,7 +1,7 @@
 package org.carawaysill.standin.command;
 
 /**
- * A command line that can't be used; told in one line.
+ * Signals an invalid command line; the message is one line.
  *
  * <p>Immutable and thread safe.
  */
--- a/standin/src/main/java/org/carawaysill/standin/command/VmListCommand.java
+++ b/standin/src/main/java/org/carawaysill/standin/command/VmListCommand.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Gives the settings.
+     * Returns the settings.
      *
      * @return the settings
      */
--- a/standin/src/main/java/org/carawaysill/standin/configuration/ConfigurationServer.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/ConfigurationServer.java
@@ -16,8 +16,8 @@
 import org.tinylog.Logger;
 
 /**
- * Serves the stand-in for the configuration service: readers and watches on one side, the platform's own publishing,
- * the counts and the faults on the other, which stay reachable under every fault.
+ * Serves the stand-in for the configuration service: the endpoints for reads and watches, and those for publishing, read
+ * counts and faults, which stay reachable under every fault.
  *
  * <p>Not thread safe: after {@link #listen} it is used on the event loop only.
  */
@@ -34,9 +34,9 @@
     private Fault fault = new Fault.Up();
 
     /**
-     * Makes a server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param vertx where it runs
+     * @param vertx the Vert.x instance on which it runs
      * @param settings its settings
      */
     public ConfigurationServer(Vertx vertx, ConfigurationSettings settings) {
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
      * @return the server once it listens
      */
--- a/standin/src/main/java/org/carawaysill/standin/configuration/ConfigurationStore.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/ConfigurationStore.java
@@ -8,8 +8,8 @@
 /**
  * The published documents.
  *
- * <p>Invariant: version numbers start at 1 and rise by one with each document published, over all services together. Not
- * thread safe: used on the event loop only; what it hands out is immutable.
+ * <p>Invariant: version numbers start at 1 and rise by one with each published document, across all services. Not thread
+ * safe: used on the event loop only; the returned maps and documents are immutable.
  */
 final class ConfigurationStore {
 
@@ -24,12 +24,12 @@
      * @param service the service that it is for
      * @param text the TOML text, which is not checked
      * @param expectedVersion the version that it replaces, if the publisher wants this checked
-     * @return its version, or the version that came in between
+     * @return its version, or the version of the current document if that is not the expected one
      */
     PublishResult publish(ServiceName service, String text, OptionalLong expectedVersion) {
-        long present = versionOf(service);
-        if (expectedVersion.isPresent() && expectedVersion.getAsLong() != present) {
-            return new PublishResult.Conflict(present);
+        long current = versionOf(service);
+        if (expectedVersion.isPresent() && expectedVersion.getAsLong() != current) {
+            return new PublishResult.Conflict(current);
         }
         lastVersion++;
         Map<ServiceName, PublishedDocument> changed = new HashMap<>(documents);
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Gives all documents as they are now.
+     * Returns all current documents.
      *
      * @return an immutable snapshot
      */
--- a/standin/src/main/java/org/carawaysill/standin/configuration/Fault.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/Fault.java
@@ -3,26 +3,26 @@
 import java.util.Map;
 import org.carawaysill.model.identity.ServiceName;
 
-/** How the service answers its readers at present. Immutable and thread safe. */
+/** How the service currently answers its readers. Immutable and thread safe. */
 sealed interface Fault {
 
-    /** It answers at once and truly. */
+    /** Answers at once with the current documents. */
     record Up() implements Fault {}
 
-    /** It closes each reader's connection without an answer. */
+    /** Closes each reader's connection without an answer. */
     record Down() implements Fault {}
 
     /**
-     * It answers late.
+     * Answers after a delay.
      *
-     * @param delayMilliseconds how late
+     * @param delayMilliseconds the delay
      */
     record Slow(long delayMilliseconds) implements Fault {}
 
     /**
-     * It answers as if nothing had been published since the fault was set.
+     * Answers as if nothing had been published since the fault was set.
      *
-     * @param documents the documents of that moment
+     * @param documents the documents at the time when the fault was set
      */
     record Stale(Map<ServiceName, PublishedDocument> documents) implements Fault {}
 }
--- a/standin/src/main/java/org/carawaysill/standin/configuration/PublishResult.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/PublishResult.java
@@ -1,19 +1,19 @@
 package org.carawaysill.standin.configuration;
 
-/** What came of publishing a document. Immutable and thread safe. */
+/** The result of publishing a document. Immutable and thread safe. */
 sealed interface PublishResult {
 
     /**
-     * The document is published.
+     * The document was published.
      *
      * @param version its version number
      */
     record Published(long version) implements PublishResult {}
 
     /**
-     * Somebody else published first.
+     * Another publisher has published a document since the expected version.
      *
-     * @param version the version number of the present document, 0 if there is none
+     * @param version the version number of the current document, 0 if there is none
      */
     record Conflict(long version) implements PublishResult {}
 }
--- a/standin/src/main/java/org/carawaysill/standin/configuration/PublishedDocument.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/PublishedDocument.java
@@ -1,7 +1,7 @@
 package org.carawaysill.standin.configuration;
 
 /**
- * A document of one service as published.
+ * A published document of one service.
  *
  * <p>Immutable and thread safe.
  *
--- a/standin/src/main/java/org/carawaysill/standin/configuration/ReadCounts.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/ReadCounts.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Counts the calls of readers, each watch as one from the moment it arrives.
+ * Counts the calls of readers; a watch counts as one call when it arrives.
  *
- * <p>Invariant: seconds are those of the monotonic clock; a second without calls counts as one with none. Not thread
- * safe: used on the event loop only.
+ * <p>Invariant: seconds are those of the monotonic clock; seconds without calls are included with a count of 0. Not
+ * thread safe: used on the event loop only.
  */
 final class ReadCounts {
 
@@ -23,7 +23,7 @@
      * Counts a call.
      *
      * @param nowNanos the monotonic time
-     * @param watch whether it may wait
+     * @param watch whether the call is a watch
      */
     void called(long nowNanos, boolean watch) {
         moveTo(nowNanos);
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Gives all counts.
+     * Returns all counts.
      *
      * @param nowNanos the monotonic time
-     * @param waitingWatches how many watches wait at present
+     * @param waitingWatches how many watches currently wait
      * @return the counts
      */
     JsonObject toJson(long nowNanos, int waitingWatches) {
--- a/standin/src/main/java/org/carawaysill/standin/configuration/ReadRequest.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/ReadRequest.java
@@ -7,13 +7,13 @@
 import org.carawaysill.standin.http.BadRequestException;
 
 /**
- * What a reader asks for.
+ * A reader's request for a document.
  *
  * <p>Immutable and thread safe.
  *
  * @param service the service whose document it reads
- * @param after the version that it has, or {@link #NO_VERSION}
- * @param waitMilliseconds how long it waits for a newer one
+ * @param after the version that the reader has, or {@link #NO_VERSION}
+ * @param waitMilliseconds how long the reader waits for a newer version
  */
 record ReadRequest(ServiceName service, long after, long waitMilliseconds) {
 
@@ -60,7 +60,7 @@
                 return OptionalLong.of(number);
             }
         } catch (NumberFormatException e) {
-            // told below, as a negative number is
+            // reported below, like a negative number
         }
         throw new BadRequestException(name + " must be a whole number of at least 0");
     }
--- a/standin/src/main/java/org/carawaysill/standin/configuration/WaitingWatches.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/WaitingWatches.java
@@ -9,8 +9,8 @@
 /**
  * The watches that wait for a newer document.
  *
- * <p>Invariant: each watch is answered once: when it is woken, when its wait ends, or never when its reader goes away.
- * Not thread safe: used on the event loop only.
+ * <p>Invariant: each watch is answered at most once: when a newer document wakes it or when its wait ends; never after its
+ * reader has disconnected. Not thread safe: used on the event loop only.
  */
 final class WaitingWatches {
 
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Lets a watch wait.
+     * Adds a watch.
      *
      * @param watch the watch
-     * @param waitMilliseconds how long it waits; answered at once if 0
+     * @param waitMilliseconds how long it waits; 0 answers it at once
      */
     void add(Watch watch, long waitMilliseconds) {
         if (waitMilliseconds == 0) {
@@ -41,7 +41,7 @@
     /**
      * Offers each watch an answer.
      *
-     * @param answer answers a watch and tells so, or leaves it waiting
+     * @param answer answers a watch and returns true, or returns false to keep it waiting
      */
     void wake(Predicate<Watch> answer) {
         for (Watch watch : List.copyOf(timers.keySet())) {
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Tells how many watches wait.
+     * Returns how many watches wait.
      *
      * @return their number
      */
--- a/standin/src/main/java/org/carawaysill/standin/http/BadRequestException.java
+++ b/standin/src/main/java/org/carawaysill/standin/http/BadRequestException.java
@@ -1,14 +1,14 @@
 package org.carawaysill.standin.http;
 
 /**
- * A request to a stand-in that makes no sense; answered by 400 and its message.
+ * Signals an invalid request to a stand-in; answered with status 400 and its message.
  *
  * <p>Immutable and thread safe.
  */
 public final class BadRequestException extends RuntimeException {
 
     /**
-     * Makes the error.
+     * Creates the error.
      *
      * @param message what is wrong, in one line
      */
--- a/standin/src/main/java/org/carawaysill/standin/http/HttpStandin.java
+++ b/standin/src/main/java/org/carawaysill/standin/http/HttpStandin.java
@@ -13,13 +13,13 @@
 import java.util.Optional;
 
 /**
- * Starts the HTTP server of a stand-in and answers as all of them do.
+ * Starts the HTTP server of a stand-in and provides the forms of answers that all stand-ins share.
  *
  * <p>No state; thread safe.
  */
 public final class HttpStandin {
 
-    /** What a server may read of a body: the platform's values hold up to a megabyte. */
+    /** Maximum length of a request body: values of the platform hold up to a megabyte. */
     public static final long MAXIMUM_BODY_BYTES = 1024L * 1024L;
 
     private static final int ACCEPT_BACKLOG = 4096;
@@ -29,9 +29,9 @@
     private HttpStandin() {}
 
     /**
-     * Makes a router that answers a {@link BadRequestException} by 400 and its message.
+     * Creates a router that answers a {@link BadRequestException} with status 400 and its message.
      *
-     * @param vertx where its handlers run
+     * @param vertx the Vert.x instance on which its handlers run
      * @return a router without routes
      */
     public static Router router(Vertx vertx) {
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Makes a handler that reads small bodies whole into memory.
+     * Creates a handler that reads small bodies into memory as a whole.
      *
      * @return the handler
      */
@@ -52,10 +52,10 @@
     /**
      * Starts a server.
      *
-     * @param vertx where it runs
-     * @param address where it listens; port 0 takes any free port
-     * @param router what it serves
-     * @return the server once it listens, or the reason why it can't
+     * @param vertx the Vert.x instance on which it runs
+     * @param address the address on which it listens; port 0 selects any free port
+     * @param router the routes that it serves
+     * @return the server once it listens, or the cause of the failure
      */
     public static Future<HttpServer> listen(Vertx vertx, SocketAddress address, Router router) {
         HttpServerOptions options =
--- a/standin/src/main/java/org/carawaysill/standin/http/JsonBody.java
+++ b/standin/src/main/java/org/carawaysill/standin/http/JsonBody.java
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Reads a text.
+     * Returns a string.
      *
      * @param key its key
      * @return the text, or empty where the key is absent
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Reads a truth value.
+     * Returns a boolean.
      *
      * @param key its key
      * @return the value, or empty where the key is absent
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Reads a number.
+     * Returns a number.
      *
      * @param key its key
      * @return the number, or empty where the key is absent
--- a/standin/src/main/java/org/carawaysill/standin/http/package-info.java
+++ b/standin/src/main/java/org/carawaysill/standin/http/package-info.java
@@ -1,4 +1,4 @@
-/** What the stand-ins share of HTTP. */
+/** HTTP helpers shared by the stand-ins. */
 @NullMarked
 package org.carawaysill.standin.http;
 
--- a/standin/src/main/java/org/carawaysill/standin/upstream/AnswerBody.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/AnswerBody.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * What a copy answers: a JSON object from which the caller sees that the answer is its own and complete.
+ * The answer of a copy: a JSON object by which the caller checks that the answer is complete and for its own request.
  *
  * <p>Immutable and thread safe.
  *
  * @param trace the trace identifier of the request, 32 hexadecimal digits; none if it had none
  * @param operation the operation's name
- * @param chain the services that took part, such as {@code issuer(parties(manifests),manifests)}
+ * @param chain the services that handled the request, such as {@code issuer(parties(manifests),manifests)}
  */
 record AnswerBody(String trace, String operation, String chain) {
 
@@ -21,24 +21,24 @@
     private static final String SUFFIX = "\"}";
 
     /**
-     * Writes the answer; its key {@code length} states the number of its bytes.
+     * Serializes the answer; its key {@code length} holds its length in bytes.
      *
-     * @param leastLength how many bytes it has at least
+     * @param minimumLength the minimum length in bytes
      * @return the bytes
      */
-    Buffer encode(int leastLength) {
+    Buffer encode(int minimumLength) {
         String head = "{\"trace\":\"" + trace + "\",\"operation\":\"" + operation + "\",\"chain\":\"" + chain + "\"";
         int fixed = head.length() + LENGTH_PREFIX.length() + PADDING_PREFIX.length() + SUFFIX.length();
-        int length = Math.max(leastLength, fixed + digits(fixed + digits(fixed)));
+        int length = Math.max(minimumLength, fixed + digits(fixed + digits(fixed)));
         int padding = length - fixed - digits(length);
         return Buffer.buffer(head + LENGTH_PREFIX + length + PADDING_PREFIX + "-".repeat(padding) + SUFFIX);
     }
 
     /**
-     * Reads an answer.
+     * Parses an answer.
      *
      * @param bytes the bytes
-     * @return the answer, or empty where it is not complete
+     * @return the answer, or empty if it is not complete
      */
     static Optional<AnswerBody> decode(Buffer bytes) {
         try {
--- a/standin/src/main/java/org/carawaysill/standin/upstream/Behaviour.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/Behaviour.java
@@ -5,13 +5,13 @@
 import org.carawaysill.standin.http.JsonBody;
 
 /**
- * The faults of a copy at present.
+ * The current faults of a copy.
  *
  * <p>Immutable and thread safe.
  *
- * @param slowdown the factor on its own work, more than 0
+ * @param slowdown the factor on its service time, more than 0
  * @param down whether it closes each connection without an answer
- * @param draining whether it refuses what is new and finishes what it has
+ * @param draining whether it refuses new requests and finishes those that it has
  */
 record Behaviour(double slowdown, boolean down, boolean draining) {
 
@@ -19,9 +19,9 @@
     static final Behaviour NORMAL = new Behaviour(1.0, false, false);
 
     /**
-     * Reads the faults of a request.
+     * Parses the faults in the body of a request.
      *
-     * @param body the whole of them; what is absent is normal
+     * @param body all faults; an absent key stands for no such fault
      * @return the faults
      */
     static Behaviour of(JsonBody body) {
--- a/standin/src/main/java/org/carawaysill/standin/upstream/CopyRequest.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/CopyRequest.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request as it came to the copy.
+ * A request as received by the copy.
  *
  * <p>Immutable; used on the event loop only.
  *
@@ -15,7 +15,7 @@
  * @param trace its trace identifier, if it carries one
  * @param traceparent the header to pass on
  * @param attempt the header {@code Carawaysill-Attempt} to pass on
- * @param deadlineNanos the monotonic time by which its caller has given up
+ * @param deadlineNanos the monotonic time at which its caller gives up
  */
 record CopyRequest(
         ServiceGraph.Match match,
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Tells whether the caller has given up.
+     * Returns whether the caller has given up.
      *
      * @param nowNanos the monotonic time
      * @return whether the deadline has passed
--- a/standin/src/main/java/org/carawaysill/standin/upstream/DeeperCall.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/DeeperCall.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 
 /**
- * One call to a deeper service, through the node's egress port.
+ * A call to a deeper service through the node's egress port.
  *
- * <p>Invariant: after {@link #cancel} nothing is sent, and the connection of what was sent is closed. Not thread safe:
- * used on the event loop only.
+ * <p>Invariant: {@link #cancel} prevents a call that is not yet sent, and closes the connection of one that is. Not
+ * thread safe: used on the event loop only.
  */
 final class DeeperCall {
 
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Sends the call once a connection is there.
+     * Sends the call once its connection is established.
      *
-     * @param connected the request on its connection
+     * @param connected the HTTP request on its connection
      * @return the answer's body, or a {@link DeeperCallException}
      */
     Future<Buffer> send(Future<HttpClientRequest> connected) {
@@ -38,7 +38,7 @@
                 .recover(this::asDeeperCallFailure);
     }
 
-    /** Gives the call up. */
+    /** Cancels the call. */
     void cancel() {
         cancelled = true;
         sent.ifPresent(HttpClientRequest::reset);
--- a/standin/src/main/java/org/carawaysill/standin/upstream/DeeperCallException.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/DeeperCallException.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * A call to a deeper service that brought no answer of use.
+ * Signals that a call to a deeper service returned no usable answer.
  *
  * <p>Immutable and thread safe.
  */
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Gives what the node said of the deeper request.
+     * Returns the outcome that the node reported for the deeper request.
      *
      * @return the header {@code Carawaysill-Outcome}
      */
--- a/standin/src/main/java/org/carawaysill/standin/upstream/EgressClient.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/EgressClient.java
@@ -15,14 +15,13 @@
 /**
  * Calls deeper services through the egress port of the copy's own node.
  *
- * <p>Takes the plain client of Vert.x, since that of Vert.x Web can't cancel a request. Invariant: has a connection for
- * each slot, so that a call never waits for one. Not thread safe: used on the event
- * loop only.
+ * <p>Uses the core HTTP client of Vert.x, since the client of Vert.x Web can't cancel a request. Invariant: there is a
+ * connection for each slot, so that a call never waits for one. Not thread safe: used on the event loop only.
  */
 final class EgressClient {
 
     private static final int SPARE_CONNECTIONS = 16;
-    private static final long LONGEST_CALL_MILLISECONDS = 30_000;
+    private static final long MAXIMUM_CALL_MILLISECONDS = 30_000;
 
     private final HttpClient client;
     private final SocketAddress egress;
@@ -37,9 +36,9 @@
     /**
      * Calls a deeper service.
      *
-     * @param call which, and how
-     * @param request the request on whose behalf
-     * @param running the call, by which it can be cancelled
+     * @param call the call to make
+     * @param request the request that makes the call
+     * @param running the handle by which the call can be cancelled
      * @param nowNanos the monotonic time
      * @return the answer's body, or a {@link DeeperCallException}
      */
@@ -62,9 +61,9 @@
 
     private static long timeoutMilliseconds(CopyRequest request, long nowNanos) {
         if (request.deadlineNanos().isEmpty()) {
-            return LONGEST_CALL_MILLISECONDS;
+            return MAXIMUM_CALL_MILLISECONDS;
         }
-        long left = TimeUnit.NANOSECONDS.toMillis(request.deadlineNanos().getAsLong() - nowNanos);
-        return Math.clamp(left, 1, LONGEST_CALL_MILLISECONDS);
+        long remaining = TimeUnit.NANOSECONDS.toMillis(request.deadlineNanos().getAsLong() - nowNanos);
+        return Math.clamp(remaining, 1, MAXIMUM_CALL_MILLISECONDS);
     }
 }
--- a/standin/src/main/java/org/carawaysill/standin/upstream/GraphCall.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/GraphCall.java
@@ -18,10 +18,10 @@
         @JsonProperty(required = true) String path) {
 
     /**
-     * Writes the path of one call.
+     * Returns the path of one call.
      *
      * @param matched the segments that the wildcards of the operation's own path matched
-     * @param otherwise what a wildcard takes where the operation's path has none
+     * @param otherwise the segment for wildcards that have no counterpart in the operation's path
      * @return the path at the node's egress port
      */
     String egressPath(List<String> matched, String otherwise) {
--- a/standin/src/main/java/org/carawaysill/standin/upstream/GraphOperation.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/GraphOperation.java
@@ -12,9 +12,9 @@
  * @param name the operation's name
  * @param method the HTTP method
  * @param path the path, in which a segment {@code *} matches one segment
- * @param idempotent whether it does no harm to run it twice
- * @param serviceMilliseconds the mean of its own work per request
- * @param answerBytes the least length of its answers
+ * @param idempotent whether it may safely run more than once
+ * @param serviceMilliseconds the mean service time of its own work per request
+ * @param answerBytes the minimum length of its answers
  * @param calls the calls that it makes after its own work, one after the other
  */
 record GraphOperation(
--- a/standin/src/main/java/org/carawaysill/standin/upstream/PathPattern.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/PathPattern.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * A path in which a segment {@code *} matches one segment.
+ * A path pattern in which a segment {@code *} matches any one segment.
  *
  * <p>Immutable and thread safe.
  */
 final class PathPattern {
 
-    /** The segment that matches any one. */
+    /** The segment that matches any segment. */
     static final String WILDCARD = "*";
 
     private final String text;
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Reads a pattern.
+     * Parses a pattern.
      *
      * @param text the pattern, which starts with a slash
      * @return the pattern
@@ -41,7 +41,7 @@
      * Matches a path.
      *
      * @param path the path without its query
-     * @return what the wildcards matched, or empty if the path does not match
+     * @return the segments that the wildcards matched, or empty if the path does not match
      */
     Optional<List<String>> match(String path) {
         String[] given = path.split("/", -1);
--- a/standin/src/main/java/org/carawaysill/standin/upstream/Run.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/Run.java
@@ -8,11 +8,11 @@
 import java.util.OptionalLong;
 
 /**
- * One request inside the copy, from its arrival to its answer: it waits, works, calls deeper services one after the
- * other, and answers.
+ * The processing of one request in the copy: waits for a slot, works, calls deeper services one after the other, and
+ * answers.
  *
- * <p>Invariant: leaves the copy exactly once, answered or cancelled, and gives its slot back then. Not thread safe: used
- * on the event loop only.
+ * <p>Invariant: ends exactly once, answered or cancelled, and then releases its slot. Not thread safe: used on the event
+ * loop only.
  */
 final class Run {
 
@@ -22,7 +22,7 @@
     private enum State {
         WAITING,
         RUNNING,
-        LEFT
+        ENDED
     }
 
     private final UpstreamCopy copy;
@@ -45,8 +45,8 @@
         return request;
     }
 
-    /** Begins the work, a millisecond at least; the run counts as started from here on, in the log of this moment. */
-    void begin() {
+    /** Starts the work, which takes at least a millisecond, and counts the run as started in the current log. */
+    void start() {
         state = State.RUNNING;
         log = copy.log();
         log.started(request.trace(), request.match().index());
@@ -55,15 +55,15 @@
         workTimer = OptionalLong.of(copy.vertx().setTimer(milliseconds, timer -> callDeeper(0)));
     }
 
-    /** Refuses the request, of which nothing ran. */
+    /** Refuses the request; no part of it has run. */
     void refuse() {
-        state = State.LEFT;
+        state = State.ENDED;
         exchange.response().setStatusCode(UNAVAILABLE).end();
     }
 
-    /** Stops at once: the caller has gone away, or the copy goes down. */
+    /** Stops at once, because the caller has disconnected or the copy goes down. */
     void cancel() {
-        if (state == State.LEFT) {
+        if (state == State.ENDED) {
             return;
         }
         if (state == State.RUNNING) {
@@ -73,7 +73,7 @@
         }
         workTimer.ifPresent(copy.vertx()::cancelTimer);
         deeperCall.ifPresent(DeeperCall::cancel);
-        leave();
+        end();
     }
 
     /** Closes the connection without an answer. */
@@ -95,7 +95,7 @@
     }
 
     private void answered(int index, Buffer body) {
-        if (state == State.LEFT) {
+        if (state == State.ENDED) {
             return;
         }
         Optional<AnswerBody> own =
@@ -110,7 +110,7 @@
     }
 
     private void failed(Throwable failure) {
-        if (state != State.LEFT) {
+        if (state != State.ENDED) {
             fail(failure instanceof DeeperCallException deeper ? deeper.outcome() : Optional.empty());
         }
     }
@@ -120,20 +120,20 @@
         GraphOperation operation = request.match().operation();
         AnswerBody body = new AnswerBody(request.traceText(), operation.name(), copy.chain(chains));
         exchange.response().putHeader("Content-Type", "application/json").end(body.encode(operation.answerBytes()));
-        leave();
+        end();
     }
 
     private void fail(Optional<String> outcome) {
         log.failed();
-        // Relays the deeper node's word as a careless service would; the copy itself did run, so a node that passed the
-        // word on would tell the caller an untruth.
+        // Relays the deeper node's outcome header, as a careless service would. Since this copy did run, a node that
+        // forwarded the header would report a wrong outcome to the caller.
         outcome.ifPresent(value -> exchange.response().putHeader(DeeperCall.OUTCOME, value));
         exchange.response().setStatusCode(BAD_GATEWAY).end();
-        leave();
+        end();
     }
 
-    private void leave() {
-        state = State.LEFT;
-        copy.left(this);
+    private void end() {
+        state = State.ENDED;
+        copy.remove(this);
     }
 }
--- a/standin/src/main/java/org/carawaysill/standin/upstream/RunLog.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/RunLog.java
@@ -6,10 +6,10 @@
 import java.util.Optional;
 
 /**
- * What ran in a copy. A run counts as started when work begins.
+ * Counts the runs of a copy. A run counts as started when its work begins.
  *
- * <p>Invariants: started = completed + failed + cancelled + those that still run; what is said of traces is exact as
- * long as {@code overflowed} is false, and too little afterwards. Not thread safe: used on the event loop only.
+ * <p>Invariants: started = completed + failed + cancelled + running; the counts by trace are exact as long as
+ * {@code overflowed} is false, and too low afterwards. Not thread safe: used on the event loop only.
  */
 final class RunLog {
 
@@ -28,10 +28,10 @@
     private boolean overflowed;
 
     /**
-     * Makes an empty log.
+     * Creates an empty log.
      *
      * @param operations the operations of the graph
-     * @param capacity how many pairs of trace and operation it remembers
+     * @param capacity how many pairs of trace and operation it stores
      */
     RunLog(List<GraphOperation> operations, int capacity) {
         this.operations = operations;
@@ -61,7 +61,7 @@
         cancelled++;
     }
 
-    /** Counts a request that found no connection free, or the copy draining. */
+    /** Counts a request that was refused because no connection was free or the copy was draining. */
     void refused() {
         refused++;
     }
@@ -71,12 +71,12 @@
         shed++;
     }
 
-    /** Counts a request whose caller went away while it waited. */
+    /** Counts a request whose caller disconnected while it waited. */
     void withdrawn() {
         withdrawn++;
     }
 
-    /** Counts an answer of a deeper service that was another request's or not complete. */
+    /** Counts an answer of a deeper service that belonged to another request or was not complete. */
     void foreignAnswer() {
         foreignAnswers++;
     }
@@ -85,7 +85,7 @@
         return runs;
     }
 
-    /** Writes all but the runs of each trace. */
+    /** Writes all counts except the runs by trace. */
     JsonObject toJson() {
         return new JsonObject()
                 .put("started", started)
--- a/standin/src/main/java/org/carawaysill/standin/upstream/RunLogWriter.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/RunLogWriter.java
@@ -5,10 +5,9 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * Writes a whole run log piece by piece, so that neither memory nor the event loop is taken up by it.
+ * Writes a run log in pieces, so that it is neither held in memory as a whole nor blocks the event loop.
  *
- * <p>Invariant: writes the entries that were there at the start, each once. Not thread safe: used on the event loop
- * only.
+ * <p>Invariant: writes each entry that existed at the start exactly once. Not thread safe: used on the event loop only.
  */
 final class RunLogWriter {
 
@@ -28,7 +27,7 @@
         this.response = response;
     }
 
-    /** Writes the summary with one more key, {@code runsByTrace}: a list of trace, operation and runs. */
+    /** Writes the summary with an additional key, {@code runsByTrace}: a list of trace, operation and runs. */
     void write() {
         String head = summary.encode();
         response.putHeader("Content-Type", "application/json").setChunked(true);
--- a/standin/src/main/java/org/carawaysill/standin/upstream/RunTable.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/RunTable.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /**
- * Counts runs by trace identifier and operation, in arrays of numbers.
+ * Counts runs by trace identifier and operation, in primitive arrays.
  *
- * <p>Invariants: entries keep the order of their first runs; never more entries than the capacity, beyond which new
- * pairs are not taken in while known ones still count. Not thread safe: used on the event loop only.
+ * <p>Invariants: entries are in the order of their first runs; the table never exceeds its capacity: when it is full, new
+ * pairs are not added, while existing pairs are still counted. Not thread safe: used on the event loop only.
  */
 final class RunTable {
 
@@ -29,8 +29,8 @@
      * Counts a run.
      *
      * @param trace the trace identifier
-     * @param operation the operation's place in the graph
-     * @return how often the pair has run by now; 0 if it is new and the table full
+     * @param operation the operation's index in the graph
+     * @return how often the pair has run, this run included; 0 if it is new and the table is full
      */
     int count(TraceIdentifier trace, int operation) {
         int place = place(trace.high(), trace.low(), operation);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Finds the place of a pair: where its entry's number stands, or the empty place where it belongs. */
+    /** Finds the hash position of a pair: the one that holds its entry's index, or the empty one where it belongs. */
     private int place(long high, long low, int operation) {
         long hash = (high ^ Long.rotateLeft(low, Integer.SIZE) ^ operation) * 0x9E3779B97F4A7C15L;
         int place = (int) (hash >>> Integer.SIZE) & places.length - 1;
--- a/standin/src/main/java/org/carawaysill/standin/upstream/ServiceGraph.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/ServiceGraph.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * What a service does and whom it calls.
+ * The operations of a service and the calls that they make to deeper services.
  *
  * <p>Immutable and thread safe.
  *
  * @param service the service's name
- * @param operations its operations, of which the first match counts
+ * @param operations its operations; the first that matches a request applies
  */
 public record ServiceGraph(
         @JsonProperty(required = true) String service,
@@ -21,9 +21,9 @@
     }
 
     /**
-     * A request's operation.
+     * The operation that matches a request.
      *
-     * @param index the operation's place in the graph
+     * @param index the operation's index in the graph
      * @param operation the operation
      * @param segments what the wildcards of its path matched
      */
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Tells whether any operation calls a deeper service.
+     * Returns whether any operation calls a deeper service.
      *
      * @return whether the copy needs its node's egress port
      */
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Gives every operation the same mean of work.
+     * Returns a graph in which all operations have the same mean service time.
      *
-     * @param milliseconds the mean of the work per request
+     * @param milliseconds the mean service time per request
      * @return the changed graph
      */
     public ServiceGraph withServiceMilliseconds(double milliseconds) {
--- a/standin/src/main/java/org/carawaysill/standin/upstream/ServiceTime.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/ServiceTime.java
@@ -4,16 +4,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws how long each request's own work takes: lognormal with a small variance, longer while the copy is cold.
+ * Draws the service time of each request from a lognormal distribution with a small variance; longer while the copy is
+ * cold.
  *
- * <p>Invariant: the mean over many draws of a warm copy is the mean asked for. Not thread safe.
+ * <p>Invariant: the mean over many draws of a warm copy is the requested mean. Not thread safe.
  */
 final class ServiceTime {
 
-    /** The standard deviation of the logarithm; the work of most requests is within a quarter of the mean. */
+    /** Standard deviation of the logarithm; most service times are within a quarter of the mean. */
     private static final double SIGMA = 0.2;
 
-    /** How much longer the work takes right after a start. */
+    /** Factor on the service time right after a start. */
     private static final double COLD_FACTOR = 4.0;
 
     private final RandomGenerator random;
@@ -21,9 +22,9 @@
     private long startNanos;
 
     /**
-     * Makes the source of work.
+     * Creates the distribution of a copy that starts now.
      *
-     * @param random where the draws come from
+     * @param random the source of randomness
      * @param coldStartMilliseconds how long the copy warms up
      * @param nowNanos the monotonic time
      */
@@ -34,7 +35,7 @@
     }
 
     /**
-     * Makes the copy cold again.
+     * Marks the copy as cold again.
      *
      * @param nowNanos the monotonic time
      */
@@ -43,7 +44,7 @@
     }
 
     /**
-     * Draws the work of one request.
+     * Draws the service time of one request.
      *
      * @param nowNanos the monotonic time
      * @param meanMilliseconds the mean of a warm copy
@@ -59,7 +60,7 @@
         if (warmNanos >= coldStartNanos) {
             return 1.0;
         }
-        double left = 1.0 - (double) warmNanos / coldStartNanos;
-        return 1.0 + (COLD_FACTOR - 1.0) * left;
+        double coldShare = 1.0 - (double) warmNanos / coldStartNanos;
+        return 1.0 + (COLD_FACTOR - 1.0) * coldShare;
     }
 }
--- a/standin/src/main/java/org/carawaysill/standin/upstream/SlotPool.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/SlotPool.java
@@ -7,22 +7,22 @@
 import java.util.SequencedSet;
 
 /**
- * The slots of a copy and the requests that wait for one, first in, first out.
+ * The slots of a copy and the first-in, first-out queue of requests that wait for one.
  *
- * <p>Invariants: never more running than slots; nothing waits while a slot is free; running and waiting together never
- * more than the connections. Not thread safe: used on the event loop only.
+ * <p>Invariants: at most as many requests run as there are slots; no request waits while a slot is free; at most as many
+ * requests run or wait as there are connections. Not thread safe: used on the event loop only.
  *
  * @param <T> a request, compared by identity or value
  */
 final class SlotPool<T> {
 
-    /** What becomes of a new request. */
+    /** The result of adding a request. */
     enum Offer {
-        /** It has a slot. */
+        /** The request has a slot. */
         RUN,
-        /** It waits for one. */
+        /** The request waits for a slot. */
         WAIT,
-        /** The copy has no connection left for it. */
+        /** The copy has no free connection for the request. */
         REFUSED
     }
 
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Offers a new request.
+     * Adds a request if a connection is free.
      *
      * @param request the request
-     * @return what becomes of it
+     * @return the result
      */
     Offer offer(T request) {
         if (running.size() < slots) {
@@ -55,12 +55,12 @@
     }
 
     /**
-     * Takes a request out, whether it runs or waits.
+     * Removes a request that runs or waits.
      *
      * @param request the request
      * @return the request that gets the slot, if one became free and one waits
      */
-    Optional<T> leave(T request) {
+    Optional<T> remove(T request) {
         waiting.remove(request);
         if (!running.remove(request) || waiting.isEmpty()) {
             return Optional.empty();
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Lists all requests, those that wait before those that run.
+     * Returns all requests, the waiting ones before the running ones.
      *
      * @return a copy of the list
      */
--- a/standin/src/main/java/org/carawaysill/standin/upstream/TraceIdentifier.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/TraceIdentifier.java
@@ -18,10 +18,10 @@
     private static final int END = MIDDLE + 16;
 
     /**
-     * Reads a header.
+     * Parses a header.
      *
      * @param traceparent {@code VERSION-TRACE-PARENT-FLAGS}
-     * @return the trace identifier, or empty where the header is malformed
+     * @return the trace identifier, or empty if the header is malformed
      */
     static Optional<TraceIdentifier> parse(String traceparent) {
         if (traceparent.length() <= END || traceparent.charAt(START - 1) != '-' || traceparent.charAt(END) != '-') {
--- a/standin/src/main/java/org/carawaysill/standin/upstream/UpstreamCopy.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/UpstreamCopy.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 
 /**
- * One upstream copy: its slots, its work, its faults and its run log.
+ * An upstream copy: its slots, its requests, its faults and its run log.
  *
  * <p>Not thread safe: used on the event loop only.
  */
@@ -42,7 +42,7 @@
         return log;
     }
 
-    /** Starts an empty log; what runs at this moment still counts in the one in which it started. */
+    /** Starts an empty log; requests that run at this moment are still counted in the log in which they started. */
     void resetLog() {
         log = emptyLog();
     }
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Changes the faults. A copy that goes down cuts off what it has; one that comes up again is cold.
+     * Changes the faults. A copy that goes down cuts off its requests; a copy that comes up again is cold.
      *
      * @param changed the faults from now on
      */
@@ -60,8 +60,8 @@
         boolean restarts = behaviour.down() && !changed.down();
         behaviour = changed;
         if (changed.down()) {
-            // Those that wait go first: the slot of a running one that is cut off would start one that waits, and the
-            // run log would show work that began while the copy was down.
+            // Waiting requests are cut off first: the slot of a running request that is cut off would otherwise start a
+            // waiting one, and the run log would show work that started while the copy was down.
             pool.requests().forEach(Run::cutOff);
         }
         if (restarts) {
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Takes a request in, its body read.
+     * Accepts a request whose body has been read.
      *
      * @param exchange the request
      * @param match its operation
@@ -85,7 +85,7 @@
         exchange.response().closeHandler(closed -> run.cancel());
         SlotPool.Offer offer = pool.offer(run);
         if (offer == SlotPool.Offer.RUN) {
-            beginOrShed(Optional.of(run));
+            startOrRefuse(Optional.of(run));
         } else if (offer == SlotPool.Offer.REFUSED) {
             log.refused();
             run.refuse();
@@ -93,25 +93,25 @@
     }
 
     /**
-     * Takes a request out and gives its slot to the first that waits and is still wanted.
+     * Removes a request and gives its slot to the first waiting request whose caller still waits for it.
      *
-     * @param run the request that leaves
+     * @param run the request to remove
      */
-    void left(Run run) {
-        beginOrShed(pool.leave(run));
+    void remove(Run run) {
+        startOrRefuse(pool.remove(run));
     }
 
-    private void beginOrShed(Optional<Run> first) {
+    private void startOrRefuse(Optional<Run> first) {
         Optional<Run> next = first;
         while (next.isPresent()) {
             Run candidate = next.get();
             if (!candidate.request().isTooLate(System.nanoTime())) {
-                candidate.begin();
+                candidate.start();
                 return;
             }
             log.shed();
             candidate.refuse();
-            next = pool.leave(candidate);
+            next = pool.remove(candidate);
         }
     }
 
--- a/standin/src/main/java/org/carawaysill/standin/upstream/UpstreamServer.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/UpstreamServer.java
@@ -12,7 +12,8 @@
 import org.tinylog.Logger;
 
 /**
- * Serves the stand-in for an upstream copy: the service's operations, and beside them what a bench sets and reads.
+ * Serves the stand-in for an upstream copy: the service's operations, and the endpoints by which a bench sets faults and
+ * reads the run log.
  *
  * <p>Not thread safe: after {@link #listen} it is used on the event loop only.
  */
@@ -25,9 +26,9 @@
     private final UpstreamCopy copy;
 
     /**
-     * Makes a server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param vertx where it runs
+     * @param vertx the Vert.x instance on which it runs
      * @param settings its settings
      */
     public UpstreamServer(Vertx vertx, UpstreamSettings settings) {
@@ -37,7 +38,7 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
      * @return the server once it listens
      */
--- a/standin/src/main/java/org/carawaysill/standin/upstream/UpstreamSettings.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/UpstreamSettings.java
@@ -6,11 +6,11 @@
 /**
  * Settings of the stand-in for an upstream copy.
  *
- * <p>Immutable and thread safe; made by a {@link Builder}.
+ * <p>Immutable and thread safe; created by a {@link Builder}.
  */
 public final class UpstreamSettings {
 
-    /** How many pairs of trace and operation the run log remembers; this takes about 17 MB when full. */
+    /** Default capacity of the run log, in pairs of trace and operation; a full log takes about 17 MB. */
     public static final int DEFAULT_RUN_LOG_ENTRIES = 500_000;
 
     private final Builder values;
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Starts to make settings.
+     * Creates a builder.
      *
      * @param graph what the copy's service does
      * @param name the copy's name
@@ -103,20 +103,20 @@
         }
 
         /**
-         * Sets how many requests run at a time and how many are inside at a time.
+         * Sets how many requests run at a time, and how many run or wait at a time.
          *
-         * @param running the slots, at least 1
-         * @param inside the connections, at least as many
+         * @param slotCount the slots, at least 1
+         * @param connectionCount the connections, at least as many
          * @return this builder
          */
-        public Builder capacity(int running, int inside) {
-            this.slots = running;
-            this.connections = inside;
+        public Builder capacity(int slotCount, int connectionCount) {
+            this.slots = slotCount;
+            this.connections = connectionCount;
             return this;
         }
 
         /**
-         * Sets where the copy calls deeper services.
+         * Sets the address at which the copy calls deeper services.
          *
          * @param address the egress port of its node
          * @return this builder
@@ -138,7 +138,7 @@
         }
 
         /**
-         * Sets the seed of the work's randomness.
+         * Sets the seed of the random service times.
          *
          * @param value the seed
          * @return this builder
@@ -149,9 +149,9 @@
         }
 
         /**
-         * Sets whether the load endpoint says that the copy is idle, whatever it does.
+         * Sets whether the load endpoint always reports an idle copy.
          *
-         * @param value whether it misleads
+         * @param value whether it always reports an idle copy
          * @return this builder
          */
         public Builder falseLoad(boolean value) {
@@ -160,7 +160,7 @@
         }
 
         /**
-         * Sets how many pairs of trace and operation the run log remembers.
+         * Sets how many pairs of trace and operation the run log stores.
          *
          * @param entries their number
          * @return this builder
@@ -171,10 +171,10 @@
         }
 
         /**
-         * Makes the settings.
+         * Builds the settings.
          *
          * @return the settings
-         * @throws IllegalArgumentException if they do not fit each other; the message is one line
+         * @throws IllegalArgumentException if they contradict each other; the message is one line
          */
         public UpstreamSettings build() {
             if (slots < 1 || connections < slots) {
--- a/standin/src/main/java/org/carawaysill/standin/vmlist/VmListServer.java
+++ b/standin/src/main/java/org/carawaysill/standin/vmlist/VmListServer.java
@@ -18,10 +18,10 @@
 import org.carawaysill.standin.http.JsonBody;
 
 /**
- * Serves the stand-in for the VM list: readers see each change only after the lag.
+ * Serves the stand-in for the VM list, in which readers see each change only after the lag.
  *
- * <p>Invariant: what readers see is the truth of a moment before the lag; the VMs of the start are seen at once. Not
- * thread safe: after {@link #listen} it is used on the event loop only.
+ * <p>Invariant: readers see the list as it was one lag ago; the VMs of the start are visible at once. Not thread safe:
+ * after {@link #listen} it is used on the event loop only.
  */
 public final class VmListServer {
 
@@ -29,26 +29,26 @@
 
     private final Vertx vertx;
     private final VmListSettings settings;
-    private final SequencedMap<NodeName, ListedVm> present = new TreeMap<>();
-    private final SequencedMap<NodeName, ListedVm> seen = new TreeMap<>();
+    private final SequencedMap<NodeName, ListedVm> current = new TreeMap<>();
+    private final SequencedMap<NodeName, ListedVm> visible = new TreeMap<>();
 
     /**
-     * Makes a server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param vertx where it runs
+     * @param vertx the Vert.x instance on which it runs
      * @param settings its settings
      */
     public VmListServer(Vertx vertx, VmListSettings settings) {
         this.vertx = vertx;
         this.settings = settings;
         settings.file().stream().flatMap(file -> VmListFile.read(file).stream()).forEach(vm -> {
-            present.put(vm.name(), vm);
-            seen.put(vm.name(), vm);
+            current.put(vm.name(), vm);
+            visible.put(vm.name(), vm);
         });
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
      * @return the server once it listens
      */
@@ -61,7 +61,7 @@
 
     private void read(RoutingContext context) {
         JsonArray vms = new JsonArray();
-        seen.values().forEach(vm -> vms.add(vm.toJson()));
+        visible.values().forEach(vm -> vms.add(vm.toJson()));
         HttpStandin.answer(context, new JsonObject().put("vms", vms));
     }
 
@@ -74,11 +74,11 @@
             return;
         }
         Optional<ListedVm> changed = state(body).map(listed.get()::withState);
-        put(present, name, changed);
+        put(current, name, changed);
         if (settings.lagMilliseconds() == 0) {
-            put(seen, name, changed);
+            put(visible, name, changed);
         } else {
-            vertx.setTimer(settings.lagMilliseconds(), timer -> put(seen, name, changed));
+            vertx.setTimer(settings.lagMilliseconds(), timer -> put(visible, name, changed));
         }
         HttpStandin.answer(context, new JsonObject().put("name", name.value()));
     }
@@ -87,7 +87,7 @@
         Optional<ListedVm> given = body.text("zone")
                 .flatMap(zone -> body.text("host")
                         .map(host -> new ListedVm(name, new AvailabilityZone(zone), host, VmState.LIVE)));
-        return given.or(() -> Optional.ofNullable(present.get(name)));
+        return given.or(() -> Optional.ofNullable(current.get(name)));
     }
 
     private static Optional<VmState> state(JsonBody body) {
--- a/standin/src/main/java/org/carawaysill/standin/vmlist/VmListSettings.java
+++ b/standin/src/main/java/org/carawaysill/standin/vmlist/VmListSettings.java
@@ -10,7 +10,7 @@
  * <p>Immutable and thread safe.
  *
  * @param listen where it listens
- * @param lagMilliseconds how long after a change readers see it, 0 or more
+ * @param lagMilliseconds the delay after which readers see a change, 0 or more
  * @param file a JSON file with the VMs at the start, as {@code GET /vms} answers
  */
 public record VmListSettings(SocketAddress listen, long lagMilliseconds, Optional<Path> file) {}
--- a/standin/src/test/java/org/carawaysill/standin/configuration/ConfigurationServerTest.java
+++ b/standin/src/test/java/org/carawaysill/standin/configuration/ConfigurationServerTest.java
@@ -108,8 +108,8 @@
     class UnderAFault {
 
         /**
-         * Operators publish and nothing takes effect. The service serves a replica that stopped to follow; then it
-         * follows again, and whoever waits must get what was missed at once, not with the publication after it.
+         * Guards against a publication that does not take effect. The service serves a stale replica; once the replica has
+         * caught up, waiting watches must get the missed documents at once, not with the next publication.
          */
         @Test
         void servesTheOldValuesWhileStaleAndWakesWatchesAfterwards() throws InterruptedException {
--- a/standin/src/test/java/org/carawaysill/standin/http/TestClient.java
+++ b/standin/src/test/java/org/carawaysill/standin/http/TestClient.java
@@ -43,7 +43,7 @@
     /**
      * Waits until a condition holds, or fails after a generous limit.
      *
-     * @param condition the condition, which is looked at again and again
+     * @param condition the condition, which is polled
      * @throws InterruptedException if the thread is interrupted
      */
     public static void waitUntil(BooleanSupplier condition) throws InterruptedException {
--- a/standin/src/test/java/org/carawaysill/standin/upstream/AnswerBodyTest.java
+++ b/standin/src/test/java/org/carawaysill/standin/upstream/AnswerBodyTest.java
@@ -15,18 +15,18 @@
 
     @Property(seed = "1", tries = 300)
     void statesItsTrueLength(
-            @ForAll @AlphaChars @StringLength(max = 60) String chain, @ForAll @IntRange(max = 1100) int leastLength) {
+            @ForAll @AlphaChars @StringLength(max = 60) String chain, @ForAll @IntRange(max = 1100) int minimumLength) {
         AnswerBody body = new AnswerBody("00ff", "lookup", chain);
-        Buffer bytes = body.encode(leastLength);
+        Buffer bytes = body.encode(minimumLength);
 
         assertEquals(bytes.length(), bytes.toJsonObject().getInteger("length"));
-        assertEquals(Math.max(leastLength, bytes.length()), bytes.length());
+        assertEquals(Math.max(minimumLength, bytes.length()), bytes.length());
         assertEquals(Optional.of(body), AnswerBody.decode(bytes));
     }
 
     /**
-     * A user sees half a document taken for a whole one. A deeper copy's answer is cut, the padding so that the rest
-     * still parses; the cause is a caller that trusts what parses. The stated length gives it away.
+     * Guards against a truncated answer that is taken for a complete one. Where only padding is cut off, the rest still
+     * parses, so that only the length in the answer reveals the truncation.
      */
     @Test
     void isNotReadWhenItWasCut() {
--- a/standin/src/test/java/org/carawaysill/standin/upstream/SlotPoolTest.java
+++ b/standin/src/test/java/org/carawaysill/standin/upstream/SlotPoolTest.java
@@ -22,7 +22,7 @@
         SlotPool<Integer> mixed = new SlotPool<>(3, 5);
         for (int request : requests) {
             if (mixed.requests().contains(request)) {
-                mixed.leave(request);
+                mixed.remove(request);
             } else {
                 mixed.offer(request);
             }
@@ -49,9 +49,9 @@
             pool.offer("b");
             pool.offer("c");
 
-            assertEquals(Optional.empty(), pool.leave("b"));
-            assertEquals(Optional.of("c"), pool.leave("a"));
-            assertEquals(Optional.empty(), pool.leave("c"));
+            assertEquals(Optional.empty(), pool.remove("b"));
+            assertEquals(Optional.of("c"), pool.remove("a"));
+            assertEquals(Optional.empty(), pool.remove("c"));
         }
     }
 }
--- a/standin/src/test/java/org/carawaysill/standin/upstream/UpstreamServerTest.java
+++ b/standin/src/test/java/org/carawaysill/standin/upstream/UpstreamServerTest.java
@@ -89,8 +89,8 @@
     class WhenItsSlotIsTaken {
 
         /**
-         * A clerk gives up on a lookup, and the next in line waits for work that nobody wants. The lookup holds the
-         * slot, a second request waits, the clerk's connection closes; the cause would be work that is not cancelled.
+         * Guards against work that goes on after its caller has disconnected. A request holds the only slot and a second
+         * one waits; when the connection of the first closes, its work must be cancelled and the slot released.
          */
         @Test
         void givesTheSlotOnWhenTheConnectionCloses() throws InterruptedException {
@@ -123,8 +123,9 @@
     class WhenItFails {
 
         /**
-         * A bench finds a doubled issuance that never was. A copy goes down with one request running and one waiting;
-         * cutting the running one off frees its slot, and the waiting one would start in a copy that is down.
+         * Guards against a run that the log counts although the copy was down, which a bench reports as a duplicate. A
+         * copy goes down with one request running and one waiting; cutting off the running one frees its slot, in which the
+         * waiting one would start.
          */
         @Test
         void cutsOffWhatItHasWhenItGoesDownAndIsThereAgainLater() throws InterruptedException {
@@ -182,8 +183,8 @@
         }
 
         /**
-         * A caller would be told "not run" of a lookup that did run. The copy works, its node refuses the deeper call
-         * and says so in a header, the copy relays the header. A node has to see through this, so the copy does it.
+         * A careless copy relays the outcome header "not run" of a refused deeper call, although it has run itself. The
+         * stand-in behaves so on purpose, since a node must not forward this header to the caller.
          */
         @Test
         void relaysTheOutcomeOfTheDeeperCall() throws InterruptedException {
@@ -200,8 +201,8 @@
         }
 
         /**
-         * An agent reads the status of another's bill. A late answer comes over a reused connection and is taken for
-         * the next one's; the trace identifier in the answer gives it away, and the copy counts it.
+         * Guards against an answer that reaches the wrong request. A late answer arrives on a reused connection and is
+         * taken for the answer to the next request; the copy detects it by the trace identifier and counts it.
          */
         @Test
         void failsWhenTheAnswerIsAnothersAndCountsThat() throws InterruptedException {
@@ -263,8 +264,8 @@
     }
 
     /**
-     * A bench misses a doubled run. It resets the log while a request waits; the request starts afterwards, and must
-     * count in the new log, not in the one of its arrival.
+     * Guards against a duplicate run that a bench misses. The log is reset while a request waits; the request starts
+     * afterwards and must be counted in the new log, not in the log of its arrival.
      */
     @Test
     void countsARunInTheLogOfTheMomentWhenItStarts() throws InterruptedException {
