--- a/soak/src/main/java/org/carawaysill/soak/Schedule.java
+++ b/soak/src/main/java/org/carawaysill/soak/Schedule.java
@@ -153,7 +153,9 @@
         network.partition(sides);
     }
 
-    /** Replaces one VM of a roster; the old one runs on for a while, as a VM does that has not received the new roster. */
+    /**
+     * Replaces one VM of a roster; the old one runs on for a while, as a VM does that has not received the new roster.
+     */
     private void changeRoster(ServiceName service) {
         List<NodeName> roster = rosters.get(service);
         NodeName old = roster.remove(random.nextInt(roster.size()));
--- a/soak/src/main/java/org/carawaysill/soak/SimulatedNetwork.java
+++ b/soak/src/main/java/org/carawaysill/soak/SimulatedNetwork.java
@@ -16,8 +16,8 @@
  * Simulates connections between nodes that lose, duplicate, delay and reorder messages. A partition first drops the
  * messages of a connection and later breaks it.
  *
- * <p>Invariant: a message is never delivered after its connection or a process at either end has ended. Not thread safe:
- * one schedule owns it.
+ * <p>Invariant: a message is never delivered after its connection or a process at either end has ended. Not thread
+ * safe: one schedule owns it.
  */
 final class SimulatedNetwork {
 
--- a/soak/src/main/java/org/carawaysill/soak/SimulatedNode.java
+++ b/soak/src/main/java/org/carawaysill/soak/SimulatedNode.java
@@ -30,7 +30,8 @@
  * A node that runs the real policy with simulated clocks and adapters, in a process that can be paused, killed and
  * started again.
  *
- * <p>Invariant: no event reaches a process that started after the event was sent. Not thread safe: one schedule owns it.
+ * <p>Invariant: no event reaches a process that started after the event was sent. Not thread safe: one schedule owns
+ * it.
  */
 final class SimulatedNode {
 
--- a/soak/src/test/java/org/carawaysill/soak/ScheduleTest.java
+++ b/soak/src/test/java/org/carawaysill/soak/ScheduleTest.java
@@ -21,8 +21,9 @@
     class Invariants {
 
         /*
-         * Guards against a request that runs twice, or that runs although its caller got "not run". Seeds 6, 22 and 33: the
-         * network duplicates a message, and the node runs the duplicate after it has answered or refused the original.
+         * Guards against a request that runs twice, or that runs although its caller got "not run". Seeds 6, 22 and 33:
+         * the network duplicates a message, and the node runs the duplicate after it has answered or refused the
+         * original.
          */
         @ParameterizedTest
         @ValueSource(longs = {6, 22, 33})
@@ -31,8 +32,8 @@
         }
 
         /*
-         * Guards against a planned stop that never ends. Seeds 36, 1292 and 1023: callers keep sending to the draining node,
-         * which forwards their requests, so that it always has a request in flight.
+         * Guards against a planned stop that never ends. Seeds 36, 1292 and 1023: callers keep sending to the draining
+         * node, which forwards their requests, so that it always has a request in flight.
          */
         @ParameterizedTest
         @ValueSource(longs = {36, 1292, 1023})
@@ -42,7 +43,8 @@
 
         /*
          * Guards against a request that runs although its caller got "not run". A node without configuration refuses a
-         * message that the network has duplicated; the duplicate arrives two seconds later, when the node is ready, and runs.
+         * message that the network has duplicated; the duplicate arrives two seconds later, when the node is ready, and
+         * runs.
          */
         @ParameterizedTest
         @ValueSource(longs = 7046)
--- a/standin/src/main/java/org/carawaysill/standin/configuration/ConfigurationServer.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/ConfigurationServer.java
@@ -16,8 +16,8 @@
 import org.tinylog.Logger;
 
 /**
- * Serves the stand-in for the configuration service: the endpoints for reads and watches, and those for publishing, read
- * counts and faults, which stay reachable under every fault.
+ * Serves the stand-in for the configuration service: the endpoints for reads and watches, and those for publishing,
+ * read counts and faults, which stay reachable under every fault.
  *
  * <p>Not thread safe: after {@link #listen} it is used on the event loop only.
  */
--- a/standin/src/main/java/org/carawaysill/standin/configuration/ConfigurationStore.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/ConfigurationStore.java
@@ -8,8 +8,8 @@
 /**
  * The published documents.
  *
- * <p>Invariant: version numbers start at 1 and rise by one with each published document, across all services. Not thread
- * safe: used on the event loop only; the returned maps and documents are immutable.
+ * <p>Invariant: version numbers start at 1 and rise by one with each published document, across all services. Not
+ * thread safe: used on the event loop only; the returned maps and documents are immutable.
  */
 final class ConfigurationStore {
 
--- a/standin/src/main/java/org/carawaysill/standin/configuration/WaitingWatches.java
+++ b/standin/src/main/java/org/carawaysill/standin/configuration/WaitingWatches.java
@@ -9,8 +9,8 @@
 /**
  * The watches that wait for a newer document.
  *
- * <p>Invariant: each watch is answered at most once: when a newer document wakes it or when its wait ends; never after its
- * reader has disconnected. Not thread safe: used on the event loop only.
+ * <p>Invariant: each watch is answered at most once: when a newer document wakes it or when its wait ends; never after
+ * its reader has disconnected. Not thread safe: used on the event loop only.
  */
 final class WaitingWatches {
 
--- a/standin/src/main/java/org/carawaysill/standin/upstream/Run.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/Run.java
@@ -11,8 +11,8 @@
  * The processing of one request in the copy: waits for a slot, works, calls deeper services one after the other, and
  * answers.
  *
- * <p>Invariant: ends exactly once, answered or cancelled, and then releases its slot. Not thread safe: used on the event
- * loop only.
+ * <p>Invariant: ends exactly once, answered or cancelled, and then releases its slot. Not thread safe: used on the
+ * event loop only.
  */
 final class Run {
 
--- a/standin/src/main/java/org/carawaysill/standin/upstream/RunTable.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/RunTable.java
@@ -5,8 +5,8 @@
 /**
  * Counts runs by trace identifier and operation, in primitive arrays.
  *
- * <p>Invariants: entries are in the order of their first runs; the table never exceeds its capacity: when it is full, new
- * pairs are not added, while existing pairs are still counted. Not thread safe: used on the event loop only.
+ * <p>Invariants: entries are in the order of their first runs; the table never exceeds its capacity: when it is full,
+ * new pairs are not added, while existing pairs are still counted. Not thread safe: used on the event loop only.
  */
 final class RunTable {
 
--- a/standin/src/main/java/org/carawaysill/standin/upstream/SlotPool.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/SlotPool.java
@@ -9,8 +9,8 @@
 /**
  * The slots of a copy and the first-in, first-out queue of requests that wait for one.
  *
- * <p>Invariants: at most as many requests run as there are slots; no request waits while a slot is free; at most as many
- * requests run or wait as there are connections. Not thread safe: used on the event loop only.
+ * <p>Invariants: at most as many requests run as there are slots; no request waits while a slot is free; at most as
+ * many requests run or wait as there are connections. Not thread safe: used on the event loop only.
  *
  * @param <T> a request, compared by identity or value
  */
--- a/standin/src/main/java/org/carawaysill/standin/upstream/UpstreamServer.java
+++ b/standin/src/main/java/org/carawaysill/standin/upstream/UpstreamServer.java
@@ -12,8 +12,8 @@
 import org.tinylog.Logger;
 
 /**
- * Serves the stand-in for an upstream copy: the service's operations, and the endpoints by which a bench sets faults and
- * reads the run log.
+ * Serves the stand-in for an upstream copy: the service's operations, and the endpoints by which a bench sets faults
+ * and reads the run log.
  *
  * <p>Not thread safe: after {@link #listen} it is used on the event loop only.
  */
--- a/standin/src/test/java/org/carawaysill/standin/configuration/ConfigurationServerTest.java
+++ b/standin/src/test/java/org/carawaysill/standin/configuration/ConfigurationServerTest.java
@@ -108,8 +108,8 @@
     class UnderAFault {
 
         /**
-         * Guards against a publication that does not take effect. The service serves a stale replica; once the replica has
-         * caught up, waiting watches must get the missed documents at once, not with the next publication.
+         * Guards against a publication that does not take effect. The service serves a stale replica; once the replica
+         * has caught up, waiting watches must get the missed documents at once, not with the next publication.
          */
         @Test
         void servesTheOldValuesWhileStaleAndWakesWatchesAfterwards() throws InterruptedException {
--- a/standin/src/test/java/org/carawaysill/standin/upstream/UpstreamServerTest.java
+++ b/standin/src/test/java/org/carawaysill/standin/upstream/UpstreamServerTest.java
@@ -89,8 +89,8 @@
     class WhenItsSlotIsTaken {
 
         /**
-         * Guards against work that goes on after its caller has disconnected. A request holds the only slot and a second
-         * one waits; when the connection of the first closes, its work must be cancelled and the slot released.
+         * Guards against work that goes on after its caller has disconnected. A request holds the only slot and a
+         * second one waits; when the connection of the first closes, its work must be cancelled and the slot released.
          */
         @Test
         void givesTheSlotOnWhenTheConnectionCloses() throws InterruptedException {
@@ -124,8 +124,8 @@
 
         /**
          * Guards against a run that the log counts although the copy was down, which a bench reports as a duplicate. A
-         * copy goes down with one request running and one waiting; cutting off the running one frees its slot, in which the
-         * waiting one would start.
+         * copy goes down with one request running and one waiting; cutting off the running one frees its slot, in which
+         * the waiting one would start.
          */
         @Test
         void cutsOffWhatItHasWhenItGoesDownAndIsThereAgainLater() throws InterruptedException {
