--- a/load/src/main/java/org/carawaysill/load/LoadMain.java
+++ b/load/src/main/java/org/carawaysill/load/LoadMain.java
@@ -31,8 +31,8 @@
      * Runs the program.
      *
      * @param arguments the sub-command and its flags
-     * @param out where progress, tables and help go
-     * @param errors where the one line of a failure goes
+     * @param out the stream for progress, tables and help
+     * @param errors the stream for the one-line error message
      * @return the exit code: 0, 1 for a run that failed, 2 for a wrong command line or file
      */
     static int run(List<String> arguments, PrintStream out, PrintStream errors) {
--- a/load/src/main/java/org/carawaysill/load/audit/Audit.java
+++ b/load/src/main/java/org/carawaysill/load/audit/Audit.java
@@ -13,14 +13,14 @@
 import org.carawaysill.load.site.LoadOperation;
 
 /**
- * Holds what callers saw against what copies ran.
+ * Checks the results that callers saw against the runs of the copies.
  *
  * <p>Immutable and thread safe once the run log is complete.
  *
  * @param graph how the services call one another
- * @param records every request of the run
- * @param runLog what the copies ran
- * @param counters what the nodes counted
+ * @param records all requests of the run
+ * @param runLog the runs of the copies
+ * @param counters the counters of the nodes
  */
 public record Audit(CallGraph graph, List<RequestRecord> records, RunLog runLog, NodeCounters counters) {
 
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Counts the violations.
+     * Counts the violations by kind.
      *
      * @return the number of requests for each kind that occurred
      */
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Gives the attempts of one request.
+     * Returns the number of attempts of one request.
      *
      * @param request the request
-     * @return how often copies ran a part of it, over the whole chain
+     * @return the number of runs at the copies of all hops
      */
     public int attempts(RequestRecord request) {
         return runLog.runs(request.traceIdentifier()).values().stream()
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Gives the most runs of one request at each hop.
+     * Returns the maximum number of runs of one request at each hop.
      *
-     * @return how often the copies of the hop's service ran one request at most
+     * @return the maximum number of runs of one request at the copies of the hop's service
      */
     public Map<Hop, Integer> mostRuns() {
         Map<Hop, Integer> most = new HashMap<>();
@@ -92,7 +92,7 @@
         return runs.entrySet().stream().anyMatch(entry -> entry.getValue() > 1 && !graph.idempotent(entry.getKey()));
     }
 
-    // Each run of a hop beyond those of a request that needs no retry was brought about by at least one credit.
+    // Each run of a hop beyond those of a request without retries was caused by at least one retry credit.
     private boolean overBound(LoadOperation operation, Map<Hop, Integer> runs) {
         Map<Hop, Integer> expected = graph.runs(operation);
         int tries = 1 + operation.retryCredits();
--- a/load/src/main/java/org/carawaysill/load/audit/NodeCounters.java
+++ b/load/src/main/java/org/carawaysill/load/audit/NodeCounters.java
@@ -6,14 +6,14 @@
 import java.util.regex.Pattern;
 
 /**
- * What the nodes of a site counted, summed over all of them: how often each reason of a family occurred.
+ * Counters of a site's nodes, by metric family and reason, summed over all nodes.
  *
  * <p>Immutable and thread safe.
  *
- * @param refusals requests refused and not run
- * @param retries requests tried again
- * @param unknown requests of which it is not known whether they ran
- * @param breaches broken promises that the nodes noticed about themselves
+ * @param refusals requests that were refused and not run
+ * @param retries requests that were retried
+ * @param unknown requests with an unknown outcome
+ * @param breaches violated invariants that the nodes noticed themselves
  */
 public record NodeCounters(
         Map<String, Long> refusals, Map<String, Long> retries, Map<String, Long> unknown, Map<String, Long> breaches) {
@@ -29,19 +29,19 @@
     }
 
     /**
-     * Gives the counters of no node.
+     * Returns empty counters.
      *
-     * @return all empty
+     * @return the counters
      */
     public static NodeCounters none() {
         return new NodeCounters(Map.of(), Map.of(), Map.of(), Map.of());
     }
 
     /**
-     * Reads the metrics of one node.
+     * Parses the metrics of one node.
      *
      * @param metrics the metrics in Prometheus's text format
-     * @return the reasons that occurred
+     * @return the counters that are above 0
      */
     public static NodeCounters parse(String metrics) {
         return new NodeCounters(
@@ -54,7 +54,7 @@
     /**
      * Adds the counters of another node.
      *
-     * @param other the other's
+     * @param other the counters of the other node
      * @return the sums
      */
     public NodeCounters plus(NodeCounters other) {
--- a/load/src/main/java/org/carawaysill/load/audit/RunLog.java
+++ b/load/src/main/java/org/carawaysill/load/audit/RunLog.java
@@ -5,7 +5,7 @@
 import org.carawaysill.load.site.Hop;
 
 /**
- * What the upstream copies of a site ran, by trace.
+ * Counts the runs of a site's upstream copies by trace.
  *
  * <p>Not thread safe: filled and read by one thread after the other.
  */
@@ -17,7 +17,7 @@
      * Adds runs of one copy.
      *
      * @param trace the trace identifier
-     * @param hop what was run
+     * @param hop the service and operation
      * @param runs how often the copy started it
      */
     public void add(String trace, Hop hop, int runs) {
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Gives the runs of one request.
+     * Returns the runs of one request.
      *
      * @param trace the trace identifier
-     * @return how often each hop was run, over all copies of its service
+     * @return the number of runs of each hop, over all copies of its service
      */
     public Map<Hop, Integer> runs(String trace) {
         return Map.copyOf(runsByTrace.getOrDefault(trace, Map.of()));
--- a/load/src/main/java/org/carawaysill/load/audit/Violation.java
+++ b/load/src/main/java/org/carawaysill/load/audit/Violation.java
@@ -2,23 +2,23 @@
 
 import java.util.Locale;
 
-/** A promise that a run saw broken. Immutable and thread safe. */
+/** A guarantee that was violated in a run. Immutable and thread safe. */
 public enum Violation {
-    /** A caller was told at each try that its request was not run, and a copy ran it. */
+    /** A caller got "not run" at each try, although a copy ran its request. */
     NOT_RUN_RAN,
-    /** A request that is not idempotent was run more than once. */
+    /** A request that is not idempotent ran more than once. */
     RAN_TWICE,
-    /** One request was run more often than its retry credits allow. */
+    /** A request ran more often than its retry credits allow. */
     RETRY_BOUND,
     /** A caller got an answer to another request. */
     FOREIGN_ANSWER,
     /** A caller got an incomplete answer as a success. */
     INCOMPLETE_ANSWER,
-    /** A caller got a complete answer that no copy of the entry service ran. */
+    /** A caller got a complete answer to a request that no copy ran. */
     ANSWERED_NOT_RUN;
 
     /**
-     * Gives the name in reports.
+     * Returns the name in reports.
      *
      * @return the name in lower case, with hyphens
      */
--- a/load/src/main/java/org/carawaysill/load/audit/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/audit/package-info.java
@@ -1,4 +1,4 @@
-/** What the upstream copies ran, held against what callers were told. */
+/** Checks the runs of the upstream copies against the outcomes that callers received. */
 @NullMarked
 package org.carawaysill.load.audit;
 
--- a/load/src/main/java/org/carawaysill/load/client/AnswerFault.java
+++ b/load/src/main/java/org/carawaysill/load/client/AnswerFault.java
@@ -2,17 +2,17 @@
 
 import java.util.Locale;
 
-/** What can be wrong with an answer that claims success. Immutable and thread safe. */
+/** The faults of an answer with a success status. Immutable and thread safe. */
 public enum AnswerFault {
-    /** It is not what its own length says. */
+    /** Its length differs from the length that it states. */
     TRUNCATED,
     /** It answers another request. */
     FOREIGN,
-    /** It can't be read. */
+    /** It can't be parsed. */
     GARBLED;
 
     /**
-     * Gives the name in reports.
+     * Returns the name in reports.
      *
      * @return the name in lower case
      */
--- a/load/src/main/java/org/carawaysill/load/client/AnswerReading.java
+++ b/load/src/main/java/org/carawaysill/load/client/AnswerReader.java
@@ -12,15 +12,15 @@
 import org.carawaysill.load.client.TryResult.Unknown;
 import org.carawaysill.load.client.TryResult.Whole;
 
-/** Reads what an answer tells its client. Stateless and thread safe. */
-final class AnswerReading {
+/** Converts an HTTP response to the result of a try. Stateless and thread safe. */
+final class AnswerReader {
 
     private static final String OUTCOME = "Carawaysill-Outcome";
     private static final String RETRY_AFTER = "Carawaysill-Retry-After-Milliseconds";
     private static final int OK = 200;
     private static final int FIRST_ERROR = 300;
 
-    private AnswerReading() {}
+    private AnswerReader() {}
 
     static TryResult of(RequestIdentity identity, HttpClientResponse response, Buffer body) {
         return switch (Optional.ofNullable(response.getHeader(OUTCOME)).orElse("")) {
--- a/load/src/main/java/org/carawaysill/load/client/ClientSettings.java
+++ b/load/src/main/java/org/carawaysill/load/client/ClientSettings.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * How patient clients are.
+ * Timeout and retry settings of clients.
  *
  * <p>Immutable and thread safe.
  *
- * @param tries how often a client sends one request at most
- * @param tryTimeout how long it waits for the answer to one try
- * @param minimumRetryDelay the shortest pause before the next try
- * @param maximumRetryDelay the longest pause before the next try
- * @param retryAfterShare the share of clients that wait as long as a refusal asks them to, from 0 to 1
+ * @param tries the maximum number of times that a client sends one request
+ * @param tryTimeout how long a client waits for the answer to one try
+ * @param minimumRetryDelay the minimum delay before the next try
+ * @param maximumRetryDelay the maximum delay before the next try
+ * @param retryAfterShare the share of clients that honour the retry delay in a refusal, from 0 to 1
  */
 public record ClientSettings(
         int tries,
@@ -21,8 +21,8 @@
         double retryAfterShare) {
 
     /**
-     * Gives clients that retry hard: four tries, each at another node, with a pause of a tenth of a second, and no
-     * regard for what a refusal asks.
+     * Returns the settings of clients that retry aggressively: four tries at different nodes, with a delay of about 100
+     * milliseconds, ignoring the retry delay in a refusal.
      *
      * @return the settings
      */
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Gives the same clients with another number of tries.
+     * Returns the same settings with another number of tries.
      *
-     * @param most how often a client sends one request at most
+     * @param most the maximum number of times that a client sends one request
      * @return the settings
      */
     public ClientSettings withTries(int most) {
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Gives the same clients with another regard for what a refusal asks.
+     * Returns the same settings with another share of clients that honour the retry delay in a refusal.
      *
-     * @param share the share of clients that wait as long as a refusal asks them to, from 0 to 1
+     * @param share the share of clients that honour the retry delay in a refusal, from 0 to 1
      * @return the settings
      */
     public ClientSettings withRetryAfterShare(double share) {
--- a/load/src/main/java/org/carawaysill/load/client/Clients.java
+++ b/load/src/main/java/org/carawaysill/load/client/Clients.java
@@ -14,7 +14,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * The callers of a site: each request has a client of its own.
+ * Simulates the callers of a site, with a separate client for each request.
  *
  * <p>Not thread safe: used on one event loop.
  */
@@ -33,7 +33,7 @@
     /**
      * Creates the callers.
      *
-     * @param settings how patient they are
+     * @param settings the timeout and retry settings
      * @param vertx the event loop
      * @param site the site
      * @param startNanos the run's start on the clock of {@link System#nanoTime()}
@@ -54,7 +54,7 @@
      * Sends one request and its retries.
      *
      * @param arrival the request
-     * @return what it came to; never fails
+     * @return the record of all tries; never fails
      */
     public Future<RequestRecord> send(Arrival arrival) {
         List<Integer> nodes = ports.getOrDefault(arrival.operation().service(), List.of());
--- a/load/src/main/java/org/carawaysill/load/client/HttpTry.java
+++ b/load/src/main/java/org/carawaysill/load/client/HttpTry.java
@@ -17,9 +17,9 @@
 import org.carawaysill.load.site.Site;
 
 /**
- * One try of one request at one node.
+ * A single try of a request at one node.
  *
- * <p>Invariant: it has exactly one result. Not thread safe: used on one event loop.
+ * <p>Invariant: a try has exactly one result. Not thread safe: used on one event loop.
  */
 final class HttpTry {
 
@@ -40,7 +40,7 @@
             Duration timeout) {
         HttpTry attempt = new HttpTry(identity);
         long timer = vertx.setTimer(timeout.toMillis(), ignored -> attempt.timeOut());
-        client.request(options(port, operation, identity)).onComplete(attempt::write, attempt::lose);
+        client.request(options(port, operation, identity)).onComplete(attempt::write, attempt::connectionLost);
         return attempt.result.future().onComplete(ignored -> vertx.cancelTimer(timer));
     }
 
@@ -56,28 +56,28 @@
     }
 
     private void write(HttpClientRequest request) {
-        request.exceptionHandler(this::lose);
+        request.exceptionHandler(this::connectionLost);
         if (result.future().isComplete()) {
             request.reset();
             return;
         }
         sent = Optional.of(request);
-        request.send().onComplete(this::read, this::lose);
+        request.send().onComplete(this::read, this::connectionLost);
     }
 
     private void read(HttpClientResponse response) {
-        response.body().onComplete(body -> finish(response, body), this::lose);
+        response.body().onComplete(body -> finish(response, body), this::connectionLost);
     }
 
     private void finish(HttpClientResponse response, Buffer body) {
-        result.tryComplete(AnswerReading.of(identity, response, body));
+        result.tryComplete(AnswerReader.of(identity, response, body));
     }
 
-    private void lose(Throwable cause) {
+    private void connectionLost(Throwable cause) {
         result.tryComplete(new ConnectionLost());
     }
 
-    // The connection is closed with the try: an answer that comes later can't be taken for that of another request.
+    // Closes the connection, so that a late answer can't be taken for the answer to another request.
     private void timeOut() {
         if (result.tryComplete(new TimedOut())) {
             sent.ifPresent(HttpClientRequest::reset);
--- a/load/src/main/java/org/carawaysill/load/client/ImpatientClient.java
+++ b/load/src/main/java/org/carawaysill/load/client/ImpatientClient.java
@@ -13,9 +13,10 @@
 import org.carawaysill.load.schedule.Arrival;
 
 /**
- * One client with one request: it tries at one node after the other until it has an answer or its tries are spent.
+ * A client that sends one request to one node after the other until it has an answer or has used all its tries.
  *
- * <p>Invariant: one try at a time, and none after a whole answer. Not thread safe: used on one event loop.
+ * <p>Invariant: at most one try is in flight, and none starts after a complete answer. Not thread safe: used on one
+ * event loop.
  */
 final class ImpatientClient {
 
@@ -26,7 +27,7 @@
     private final SplittableRandom random;
     private final RequestIdentity identity;
     private final List<Integer> ports;
-    private final boolean patient;
+    private final boolean honoursRetryAfter;
     private final List<TryResult> tries = new ArrayList<>();
     private final Promise<RequestRecord> done = Promise.promise();
     private final long startNanos;
@@ -41,7 +42,7 @@
         this.random = new SplittableRandom(arrival.seed());
         this.identity = RequestIdentity.mint(System.currentTimeMillis(), random);
         this.ports = shuffled(ports, random);
-        this.patient = random.nextDouble() < settings.retryAfterShare();
+        this.honoursRetryAfter = random.nextDouble() < settings.retryAfterShare();
         this.startNanos = start;
     }
 
@@ -54,10 +55,10 @@
     private void next() {
         int port = ports.get(tries.size() % ports.size());
         HttpTry.send(vertx, http, port, arrival.operation(), identity, settings.tryTimeout())
-                .onSuccess(this::tried);
+                .onSuccess(this::tryEnded);
     }
 
-    private void tried(TryResult result) {
+    private void tryEnded(TryResult result) {
         tries.add(result);
         if (result instanceof Whole || tries.size() >= settings.tries()) {
             done.complete(new RequestRecord(arrival, identity.traceIdentifier(), sentNanos, tries, now()));
@@ -74,7 +75,9 @@
         long shortest = settings.minimumRetryDelay().toMillis();
         long longest = settings.maximumRetryDelay().toMillis();
         Duration own = Duration.ofMillis(random.nextLong(shortest, longest + 1));
-        if (patient && result instanceof NotRun(String reason, Duration retryAfter) && retryAfter.compareTo(own) > 0) {
+        if (honoursRetryAfter
+                && result instanceof NotRun(String reason, Duration retryAfter)
+                && retryAfter.compareTo(own) > 0) {
             return retryAfter;
         }
         return own;
--- a/load/src/main/java/org/carawaysill/load/client/RequestIdentity.java
+++ b/load/src/main/java/org/carawaysill/load/client/RequestIdentity.java
@@ -5,11 +5,11 @@
 import java.util.UUID;
 
 /**
- * What all tries of one request have in common.
+ * The identifiers that all tries of a request share.
  *
  * <p>Immutable and thread safe.
  *
- * @param idempotencyKey a UUID of version 7, which carries the time at which it was minted
+ * @param idempotencyKey a UUID of version 7, which contains the time of its creation
  * @param traceIdentifier 32 hexadecimal digits
  * @param spanIdentifier 16 hexadecimal digits
  */
@@ -22,10 +22,10 @@
     private static final int TIME_SHIFT = 16;
 
     /**
-     * Mints an identity.
+     * Creates an identity.
      *
-     * @param epochMilliseconds the time of minting, in milliseconds since 1970
-     * @param random the client's own generator
+     * @param epochMilliseconds the time of creation, in milliseconds since 1970
+     * @param random the client's random generator
      * @return the identity
      */
     public static RequestIdentity mint(long epochMilliseconds, SplittableRandom random) {
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Gives the W3C trace header.
+     * Returns the W3C trace header.
      *
      * @return the value of {@code traceparent}
      */
--- a/load/src/main/java/org/carawaysill/load/client/RequestRecord.java
+++ b/load/src/main/java/org/carawaysill/load/client/RequestRecord.java
@@ -6,14 +6,14 @@
 import org.carawaysill.load.schedule.Arrival;
 
 /**
- * One request from its intended sending to its end.
+ * The record of a request from its intended sending time to its end.
  *
- * <p>Invariant: at most the last try is whole. Immutable and thread safe.
+ * <p>Invariant: no try but the last has a complete answer. Immutable and thread safe.
  *
- * @param arrival what was meant to be sent
- * @param traceIdentifier what run logs know it by
- * @param sentNanos when it was sent first, in nanoseconds from the run's start
- * @param tries what each try came to, in order
+ * @param arrival the scheduled request
+ * @param traceIdentifier the trace identifier by which run logs list it
+ * @param sentNanos when it was first sent, in nanoseconds from the run's start
+ * @param tries the result of each try, in order
  * @param finishedNanos when its client had the answer or gave up, in nanoseconds from the run's start
  */
 public record RequestRecord(
@@ -24,34 +24,34 @@
     }
 
     /**
-     * Tells whether the request was answered completely, end to end.
+     * Returns whether the request got a complete answer.
      *
-     * @return true if its last try was
+     * @return true if its last try did
      */
     public boolean whole() {
         return tries.getLast() instanceof Whole;
     }
 
     /**
-     * Tells whether its client was told at every try that it was not run.
+     * Returns whether every try got the outcome "not run".
      *
-     * @return true if every answer said so
+     * @return true if every try did
      */
     public boolean everyTryNotRun() {
         return tries.stream().allMatch(NotRun.class::isInstance);
     }
 
     /**
-     * Gives the time by which the bench itself was late.
+     * Returns the delay that the load generator itself caused.
      *
-     * @return nanoseconds from the intended sending to the first
+     * @return nanoseconds from the intended to the actual first sending
      */
     public long lateNanos() {
         return sentNanos - arrival.atNanos();
     }
 
     /**
-     * Gives the time that its client waited, the time before the first sending included.
+     * Returns the latency as seen by the client, counted from the intended sending time.
      *
      * @return nanoseconds from the intended sending
      */
--- a/load/src/main/java/org/carawaysill/load/client/TryResult.java
+++ b/load/src/main/java/org/carawaysill/load/client/TryResult.java
@@ -2,49 +2,49 @@
 
 import java.time.Duration;
 
-/** What one try of a request came to, as its client saw it. Immutable and thread safe. */
+/** The result of a try of a request, as seen by its client. Immutable and thread safe. */
 public sealed interface TryResult {
 
-    /** A complete answer to this very request. */
+    /** A complete answer to this request. */
     record Whole() implements TryResult {}
 
     /**
-     * An answer that should not have been one.
+     * An answer with a success status that is faulty.
      *
-     * @param fault what is wrong with it
+     * @param fault the fault
      */
     record Broken(AnswerFault fault) implements TryResult {}
 
     /**
-     * A refusal that says the request was not run.
+     * A refusal which states that the request was not run.
      *
      * @param reason the reason given
-     * @param retryAfter when to come back
+     * @param retryAfter the delay after which to retry
      */
     record NotRun(String reason, Duration retryAfter) implements TryResult {}
 
     /**
-     * An answer that says the request may have run.
+     * An answer which states that the request may have run.
      *
      * @param reason the reason given
      */
     record Unknown(String reason) implements TryResult {}
 
     /**
-     * An error without a marked outcome.
+     * An error status without an outcome header.
      *
      * @param status the HTTP status
      */
     record Failed(int status) implements TryResult {}
 
-    /** No answer in time; the client closed the connection. */
+    /** No answer arrived in time, and the client closed the connection. */
     record TimedOut() implements TryResult {}
 
-    /** The connection could not be made, or was lost before the answer was complete. */
+    /** The connection could not be established, or was lost before the answer was complete. */
     record ConnectionLost() implements TryResult {}
 
     /**
-     * Names the result for counting.
+     * Returns the name under which the result is counted.
      *
      * @return the kind, with the reason where there is one
      */
--- a/load/src/main/java/org/carawaysill/load/client/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/client/package-info.java
@@ -1,4 +1,4 @@
-/** Clients that send requests over HTTP and retry hard. */
+/** Clients that send requests over HTTP and retry aggressively. */
 @NullMarked
 package org.carawaysill.load.client;
 
--- a/load/src/main/java/org/carawaysill/load/command/CommandLine.java
+++ b/load/src/main/java/org/carawaysill/load/command/CommandLine.java
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.OptionHandlerFilter;
 import org.kohsuke.args4j.ParserProperties;
 
-/** Reads the command line. Stateless and thread safe. */
+/** Parses the command line. Stateless and thread safe. */
 public final class CommandLine {
 
     private static final String PROGRAM = "carawaysill-load";
@@ -16,7 +16,7 @@
     private CommandLine() {}
 
     /**
-     * Reads the sub-command and its flags.
+     * Parses the sub-command and its flags.
      *
      * @param arguments the words of the command line
      * @return the sub-command
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Writes the help of the whole program.
+     * Returns the help of the whole program.
      *
      * @return some lines
      */
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Writes the help of a sub-command.
+     * Returns the help of a sub-command.
      *
      * @param name the sub-command's name
      * @param subcommand the sub-command
--- a/load/src/main/java/org/carawaysill/load/command/EventLoop.java
+++ b/load/src/main/java/org/carawaysill/load/command/EventLoop.java
@@ -17,7 +17,7 @@
     /**
      * Runs a task.
      *
-     * @param task what to run on the event loop
+     * @param task the task to run on the event loop
      * @param <T> the type of its result
      * @return its result
      * @throws BenchException if the bench did not do what the task needs
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Runs a task that blocks, on the calling thread, beside an event loop.
+     * Runs a blocking task on the calling thread, with an event loop that it can use.
      *
-     * @param task what to run
+     * @param task the task to run
      * @param <T> the type of its result
      * @return its result
      * @throws BenchException if the bench did not do what the task needs
@@ -59,14 +59,14 @@
     }
 
     /**
-     * A task that waits for what it asked the event loop for.
+     * A task that blocks until the event loop has completed its calls.
      *
      * @param <T> the type of its result
      */
     interface BlockingTask<T> {
 
         /**
-         * Runs it.
+         * Runs the task.
          *
          * @param vertx the event loop
          * @return its result
--- a/load/src/main/java/org/carawaysill/load/command/FleetOptions.java
+++ b/load/src/main/java/org/carawaysill/load/command/FleetOptions.java
@@ -2,7 +2,7 @@
 
 import org.carawaysill.load.fleet.FleetPlan;
 
-/** What the sub-commands for fleets have in common. Stateless and thread safe. */
+/** Defaults shared by the sub-commands for fleets. Stateless and thread safe. */
 final class FleetOptions {
 
     /** About 3,500 targets in 150 services. */
--- a/load/src/main/java/org/carawaysill/load/command/Subcommand.java
+++ b/load/src/main/java/org/carawaysill/load/command/Subcommand.java
@@ -3,7 +3,7 @@
 import java.io.PrintStream;
 
 /**
- * What the program is asked to do. args4j fills in the fields of the implementations, which are read once, when the
+ * A sub-command of the program. Args4j fills the fields of the implementations; they are read once, when the
  * sub-command runs.
  *
  * <p>Not thread safe: used by the main thread only.
@@ -18,17 +18,17 @@
                 FleetWatchCommand {
 
     /**
-     * Tells whether only the help is wanted.
+     * Returns whether the help is requested.
      *
      * @return whether the flag {@code --help} was given
      */
     boolean help();
 
     /**
-     * Does it.
+     * Runs the sub-command.
      *
-     * @param out where progress and tables go
-     * @throws Exception if it can't be done; a {@link UsageException} or
+     * @param out the stream for progress and tables
+     * @throws Exception if it fails; a {@link UsageException} or
      *     {@link org.carawaysill.load.site.SiteException} if the command line or a file that it names is at fault
      */
     void run(PrintStream out) throws Exception;
--- a/load/src/main/java/org/carawaysill/load/command/UsageException.java
+++ b/load/src/main/java/org/carawaysill/load/command/UsageException.java
@@ -1,6 +1,6 @@
 package org.carawaysill.load.command;
 
-/** The command line can't be used; the message is one line. Immutable and thread safe. */
+/** Signals an invalid command line; the message is one line. Immutable and thread safe. */
 public final class UsageException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/load/src/main/java/org/carawaysill/load/fleet/FleetClient.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/FleetClient.java
@@ -11,7 +11,7 @@
 import org.carawaysill.load.site.SiteCopy.Port;
 import org.carawaysill.model.identity.ServiceName;
 
-/** Asks the processes of a fleet, and waits for their answers. Not thread safe: used by the main thread only. */
+/** Blocking client for the processes of a fleet. Not thread safe: used by the main thread only. */
 final class FleetClient {
 
     private static final long NOT_IN_FORCE = 0;
@@ -28,9 +28,9 @@
      * Publishes a service's document.
      *
      * @param service the service
-     * @param revision what tells its text from the one before
+     * @param revision a number by which the text differs from the previous one
      * @return its version
-     * @throws BenchException if the stand-in does not take it
+     * @throws BenchException if the stand-in does not accept it
      */
     long publish(FleetService service, int revision) throws BenchException {
         String path = "/configuration/" + service.name();
@@ -53,13 +53,13 @@
     }
 
     /**
-     * Finds the nodes on which a version is not in force; one that does not answer is among them.
+     * Returns the copies on whose nodes a version is not in force; a node that does not answer counts as such.
      *
-     * @param copies whose nodes to ask
+     * @param copies the copies whose nodes are queried
      * @param service the document's service
      * @param version the version, or 1 for any
-     * @return those that are behind
-     * @throws BenchException if the answers can't be waited for
+     * @return the copies whose nodes are behind
+     * @throws BenchException if waiting for the answers fails
      */
     List<SiteCopy> behind(List<SiteCopy> copies, ServiceName service, long version) throws BenchException {
         List<Future<Long>> versions =
--- a/load/src/main/java/org/carawaysill/load/fleet/FleetFiles.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/FleetFiles.java
@@ -25,7 +25,7 @@
      * Writes all files.
      *
      * @param plan the fleet
-     * @param directory where to
+     * @param directory the directory for the files
      * @return the file that lists the processes
      * @throws IOException if a file can't be written
      */
--- a/load/src/main/java/org/carawaysill/load/fleet/FleetPlan.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/FleetPlan.java
@@ -12,13 +12,14 @@
 /**
  * A fleet on loopback: services in a ring, each of which calls the next two.
  *
- * <p>Invariant: the sizes of two services differ by at most one; a service never calls itself. Immutable and thread safe.
+ * <p>Invariant: the sizes of two services differ by at most one; a service never calls itself. Immutable and thread
+ * safe.
  *
  * @param services the services, in the order of their ports
  */
 public record FleetPlan(List<FleetService> services) {
 
-    /** The most nodes, so that a machine keeps to a few hundred processes. */
+    /** Maximum number of nodes, which limits the processes on one machine to a few hundred. */
     public static final int MAXIMUM_NODES = 300;
 
     private static final int ZONES = 13;
@@ -33,8 +34,8 @@
     /**
      * Plans a fleet.
      *
-     * @param nodes how many nodes
-     * @param serviceNodes how many of them a service has at most
+     * @param nodes the number of nodes
+     * @param serviceNodes the maximum number of nodes of a service
      * @return the plan
      */
     public static FleetPlan of(int nodes, int serviceNodes) {
@@ -74,7 +75,7 @@
     }
 
     /**
-     * Lists all copies.
+     * Returns all copies.
      *
      * @return the copies in the order of their ports
      */
@@ -82,7 +83,7 @@
         return services.stream().flatMap(service -> service.copies().stream()).toList();
     }
 
-    /** The copies whose nodes follow a service's document: its own and those of its callers. */
+    /** Returns the copies whose nodes read a service's document: its own and those of its callers. */
     List<SiteCopy> followers(FleetService followed) {
         return services.stream()
                 .filter(service -> service.equals(followed) || service.calls().contains(followed.name()))
--- a/load/src/main/java/org/carawaysill/load/fleet/FleetReport.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/FleetReport.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What a fleet's control work cost.
+ * The cost of a fleet's control work.
  *
  * <p>Immutable and thread safe.
  *
- * @param nodes how many nodes
- * @param services in how many services
- * @param livePeersMean how many nodes a node watched and believed alive at the end: of its own service and chosen ones of
- *     those that it calls; callers, which choose it, come on top
- * @param readySeconds from the start of the watching to the last node's readiness, or 0 where all were ready
+ * @param nodes the number of nodes
+ * @param services the number of services
+ * @param livePeersMean the mean number of nodes that a node monitored and saw as live at the end: those of its own
+ *     service and selected ones of the services that it calls, without callers that selected it
+ * @param readySeconds the time from the start of the measurement until the last node was ready, or 0 if all were ready
  * @param readsAtStart calls at the configuration stand-in until all nodes were ready
- * @param largestReadsPerSecond the most of them in any second of the run
- * @param processorsBusy the busy share of the machine's processors, whatever made them so, at the end
+ * @param largestReadsPerSecond the maximum number of calls in one second of the run
+ * @param processorsBusy the processor utilisation of the machine at the end, by all its processes
  * @param phases the phases in their order
  */
 public record FleetReport(
--- a/load/src/main/java/org/carawaysill/load/fleet/FleetService.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/FleetService.java
@@ -7,7 +7,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * One service of a fleet.
+ * A service of a fleet.
  *
  * <p>Immutable and thread safe.
  *
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Writes the service's document.
+     * Returns the service's document.
      *
-     * @param revision a number that makes the text another one
+     * @param revision a number by which the text differs from other revisions
      * @return the TOML text
      */
     String document(int revision) {
--- a/load/src/main/java/org/carawaysill/load/fleet/FleetTable.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/FleetTable.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Writes the report of a fleet for people. Stateless and thread safe. */
+/** Formats the report of a fleet as a table. Stateless and thread safe. */
 public final class FleetTable {
 
     private static final int PERCENT = 100;
@@ -11,7 +11,7 @@
     private FleetTable() {}
 
     /**
-     * Writes the table.
+     * Returns the table.
      *
      * @param report the report
      * @return lines, each with a line end
--- a/load/src/main/java/org/carawaysill/load/fleet/FleetWatch.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/FleetWatch.java
@@ -11,8 +11,8 @@
 import org.carawaysill.load.site.SiteCopy.Port;
 
 /**
- * Measures a running fleet: first idle, then with changes that nobody asks for, so that only the nodes' own work counts,
- * then with changes whose way into force is timed by asking the nodes all the time.
+ * Measures a running fleet in three phases: idle; with publications but without queries to the nodes, so that only the
+ * nodes' own work counts; and with publications whose time until they are in force is measured by polling the nodes.
  *
  * <p>Not thread safe: used by the main thread only.
  */
@@ -32,12 +32,12 @@
     private int revision;
 
     /**
-     * Prepares the measurement.
+     * Creates the measurement.
      *
      * @param plan the fleet
-     * @param settings how long and how often
-     * @param http the caller of admin interfaces
-     * @param out where progress goes
+     * @param settings the settings of the measurement
+     * @param http the client for admin interfaces
+     * @param out the stream for progress lines
      */
     public FleetWatch(FleetPlan plan, FleetWatchSettings settings, BenchHttp http, PrintStream out) {
         this.plan = plan;
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Measures.
+     * Runs the measurement.
      *
      * @return the report
      * @throws BenchException if a process fails
@@ -163,7 +163,7 @@
         }
     }
 
-    /** What fills a phase. */
+    /** The work of a phase. */
     private interface PhaseWork {
 
         void run(Publications publications) throws BenchException;
--- a/load/src/main/java/org/carawaysill/load/fleet/FleetWatchSettings.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/FleetWatchSettings.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * How a fleet is measured.
+ * Settings of a fleet measurement.
  *
- * <p>Invariant: the settling is not negative, the others are positive. Immutable and thread safe.
+ * <p>Invariant: the settling time is not negative, the others are positive. Immutable and thread safe.
  *
- * @param settling how long to wait after the last node's readiness
- * @param length all phases together
- * @param interval from one publication to the next
+ * @param settling how long to wait after the last node is ready
+ * @param length the length of all phases together
+ * @param interval the time from one publication to the next
  */
 public record FleetWatchSettings(Duration settling, Duration length, Duration interval) {
 
--- a/load/src/main/java/org/carawaysill/load/fleet/NodeReading.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/NodeReading.java
@@ -6,13 +6,13 @@
 import java.util.regex.Pattern;
 
 /**
- * What one node says of itself at one moment.
+ * The metrics of a node at one time.
  *
  * <p>Immutable and thread safe.
  *
  * @param processorSeconds processor time since the process started
  * @param residentBytes resident memory
- * @param livePeers watched nodes that it believes alive
+ * @param livePeers the number of monitored nodes that it sees as live
  * @param sentBytes bytes sent to other nodes, by kind
  * @param receivedBytes bytes received from other nodes, by kind
  */
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Reads the metrics of one node.
+     * Parses the metrics of one node.
      *
      * @param metrics the metrics in Prometheus's text format
      * @return the reading
@@ -66,12 +66,12 @@
         return bytes;
     }
 
-    /** All bytes that were sent or received. */
+    /** Returns the number of bytes sent or received. */
     double linkBytes() {
         return sum(sentBytes) + sum(receivedBytes);
     }
 
-    /** The bytes of one kind that were sent or received. */
+    /** Returns the number of bytes of one kind sent or received. */
     double linkBytes(String kind) {
         return sentBytes.getOrDefault(kind, 0.0) + receivedBytes.getOrDefault(kind, 0.0);
     }
--- a/load/src/main/java/org/carawaysill/load/fleet/PhaseReport.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/PhaseReport.java
@@ -9,24 +9,24 @@
 import org.carawaysill.load.report.Latency;
 
 /**
- * What one phase cost, per node and at the platform.
+ * The cost of a phase, per node and at the platform.
  *
  * <p>Immutable and thread safe.
  *
- * @param name what the phase was
- * @param seconds its length
- * @param publications documents published in it
+ * @param name the name of the phase
+ * @param seconds the length of the phase
+ * @param publications the number of documents published in the phase
  * @param processorShareMean processor time of a node, as a share of one core, mean over the nodes
- * @param processorShareMax the same of the busiest node
+ * @param processorShareMax the same for the busiest node
  * @param residentMegabytesMean resident memory at the end in units of 1,000,000 bytes, mean over the nodes
- * @param residentMegabytesMax the same of the largest node
+ * @param residentMegabytesMax the same for the largest node
  * @param bytesPerSecondMean bytes between nodes, sent and received together, mean over the nodes
- * @param bytesPerSecondMax the same of the busiest node
+ * @param bytesPerSecondMax the same for the busiest node
  * @param bytesPerSecondByKind the mean by kind of traffic
- * @param readsPerSecond calls at the configuration stand-in, of the whole fleet
+ * @param readsPerSecond calls of the whole fleet at the configuration stand-in
  * @param watchesPerSecond how many of them were watches
- * @param inForceMilliseconds from publication to in force on the last node; of no publication where it was not timed
- * @param overdue publications that were not in force everywhere within the limit
+ * @param inForceMilliseconds the time from publication until in force on the last node; empty in phases without timing
+ * @param overdue the number of publications that were not in force on all nodes within the limit
  */
 public record PhaseReport(
         String name,
--- a/load/src/main/java/org/carawaysill/load/fleet/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** A fleet of nodes under control work only: its layout, the publications and what they cost. */
+/** Measures the cost of a fleet's control work, without requests: layout, publications and reports. */
 @NullMarked
 package org.carawaysill.load.fleet;
 
--- a/load/src/main/java/org/carawaysill/load/latency/LatencyMeasurement.java
+++ b/load/src/main/java/org/carawaysill/load/latency/LatencyMeasurement.java
@@ -17,7 +17,7 @@
 import org.carawaysill.load.report.Latency;
 
 /**
- * Sends requests along both paths in turns and times them from their intended sending.
+ * Sends requests along both paths in turn and measures their latencies from the intended sending times.
  *
  * <p>Not thread safe: used on one event loop.
  */
@@ -43,7 +43,7 @@
     /**
      * Creates a measurement.
      *
-     * @param settings what it does
+     * @param settings the settings of the measurement
      * @param vertx the event loop, of one thread
      */
     public LatencyMeasurement(LatencySettings settings, Vertx vertx) {
@@ -55,23 +55,23 @@
     }
 
     /**
-     * Measures.
+     * Runs the measurement.
      *
-     * @return the figures; never fails: requests that fail are counted
+     * @return the report; never fails, since failed requests are counted
      */
     public Future<LatencyReport> run() {
-        List<Shot> shots = Shot.draw(settings);
-        outstanding = shots.size();
+        List<ScheduledRequest> requests = ScheduledRequest.draw(settings);
+        outstanding = requests.size();
         startNanos = System.nanoTime() + START_DELAY_NANOS;
-        new Pacer(vertx.getOrCreateContext(), this::send).start(shots, startNanos);
+        new Pacer(vertx.getOrCreateContext(), this::send).start(requests, startNanos);
         return done.future();
     }
 
-    private void send(Shot shot) {
-        http.request(options(shot.through() ? settings.through() : settings.direct()))
+    private void send(ScheduledRequest scheduled) {
+        http.request(options(scheduled.through() ? settings.through() : settings.direct()))
                 .compose(request -> request.send())
                 .compose(LatencyMeasurement::completeBody)
-                .onComplete(body -> finished(shot, body.succeeded()));
+                .onComplete(body -> finished(scheduled, body.succeeded()));
     }
 
     private RequestOptions options(LatencyPath path) {
@@ -89,12 +89,12 @@
         return response.statusCode() == OK ? response.body() : Future.failedFuture("answered " + response.statusCode());
     }
 
-    private void finished(Shot shot, boolean succeeded) {
+    private void finished(ScheduledRequest scheduled, boolean succeeded) {
         if (!succeeded) {
             failures++;
-        } else if (shot.counts()) {
-            long nanos = System.nanoTime() - startNanos - shot.atNanos();
-            (shot.through() ? through : direct).recordValue(nanos / NANOS_PER_MICROSECOND);
+        } else if (scheduled.counts()) {
+            long nanos = System.nanoTime() - startNanos - scheduled.atNanos();
+            (scheduled.through() ? through : direct).recordValue(nanos / NANOS_PER_MICROSECOND);
         }
         outstanding--;
         if (outstanding == 0) {
--- a/load/src/main/java/org/carawaysill/load/latency/LatencyPath.java
+++ b/load/src/main/java/org/carawaysill/load/latency/LatencyPath.java
@@ -1,7 +1,7 @@
 package org.carawaysill.load.latency;
 
 /**
- * Where the requests of one path go.
+ * The target of the requests of one path.
  *
  * <p>Invariant: the port is a TCP port, the path starts with a slash. Immutable and thread safe.
  *
@@ -11,16 +11,16 @@
  */
 public record LatencyPath(String host, int port, String path) {
 
-    private static final int HIGHEST_PORT = 65535;
+    private static final int MAXIMUM_PORT = 65535;
 
     public LatencyPath {
-        if (port < 1 || port > HIGHEST_PORT || !path.startsWith("/")) {
+        if (port < 1 || port > MAXIMUM_PORT || !path.startsWith("/")) {
             throw new IllegalArgumentException("a path needs a port from 1 to 65535 and a leading slash");
         }
     }
 
     /**
-     * Reads a path.
+     * Parses a path.
      *
      * @param text host, port and path, such as {@code 127.0.0.1:21004/items/1}
      * @return the path
--- a/load/src/main/java/org/carawaysill/load/latency/LatencyReport.java
+++ b/load/src/main/java/org/carawaysill/load/latency/LatencyReport.java
@@ -4,16 +4,16 @@
 import org.carawaysill.load.report.Latency;
 
 /**
- * What a measurement came to.
+ * The report of a latency measurement.
  *
  * <p>Immutable and thread safe.
  *
- * @param ratePerSecond requests a second
+ * @param ratePerSecond requests per second
  * @param directMilliseconds the latencies of the direct path
  * @param throughMilliseconds the latencies of the path through the nodes
  * @param addedP50Milliseconds the difference of the medians
  * @param addedP99Milliseconds the difference of the 99th percentiles
- * @param failures requests that were not answered with success
+ * @param failures the number of requests that were not answered with success
  */
 public record LatencyReport(
         double ratePerSecond,
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Writes the figures.
+     * Returns the figures as text.
      *
-     * @return one line, without its end
+     * @return one line, without a line end
      */
     public String text() {
         return String.format(
--- a/load/src/main/java/org/carawaysill/load/latency/Pacer.java
+++ b/load/src/main/java/org/carawaysill/load/latency/Pacer.java
@@ -6,29 +6,29 @@
 import java.util.function.Consumer;
 
 /**
- * Hands each request to the event loop at its time, to some ten microseconds: a timer of whole milliseconds would hide
- * what is measured.
+ * Passes each request to the event loop at its time, with a precision of some ten microseconds; a timer of whole
+ * milliseconds would be coarser than the measured differences.
  *
- * <p>Its one thread sleeps until shortly before the time and then spins. Immutable; the receiver is called on the event
- * loop.
+ * <p>A single thread sleeps until shortly before each time and then spins. Immutable; the receiver is called on the
+ * event loop.
  *
  * @param context the event loop
- * @param receiver what sends a request
+ * @param receiver the function that sends a request
  */
-record Pacer(Context context, Consumer<Shot> receiver) {
+record Pacer(Context context, Consumer<ScheduledRequest> receiver) {
 
     private static final long SPIN_NANOS = 200_000;
 
-    void start(List<Shot> shots, long startNanos) {
-        Thread thread = new Thread(() -> pace(shots, startNanos), "pacer");
+    void start(List<ScheduledRequest> requests, long startNanos) {
+        Thread thread = new Thread(() -> pace(requests, startNanos), "pacer");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void pace(List<Shot> shots, long startNanos) {
-        for (Shot shot : shots) {
-            await(startNanos + shot.atNanos());
-            context.runOnContext(ignored -> receiver.accept(shot));
+    private void pace(List<ScheduledRequest> requests, long startNanos) {
+        for (ScheduledRequest request : requests) {
+            await(startNanos + request.atNanos());
+            context.runOnContext(ignored -> receiver.accept(request));
         }
     }
 
--- a/load/src/main/java/org/carawaysill/load/latency/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/latency/package-info.java
@@ -1,4 +1,4 @@
-/** The latency that nodes in the path add, against the same requests sent directly. */
+/** Measures the latency that nodes add to requests, compared to the same requests sent directly. */
 @NullMarked
 package org.carawaysill.load.latency;
 
--- a/load/src/main/java/org/carawaysill/load/layout/LayoutWriter.java
+++ b/load/src/main/java/org/carawaysill/load/layout/LayoutWriter.java
@@ -14,7 +14,7 @@
     /**
      * Writes the settings of each node, the VM list and the list of processes.
      *
-     * @param layout what to write
+     * @param layout the layout to write
      * @return the file that lists the processes
      * @throws IOException if a file can't be written
      */
--- a/load/src/main/java/org/carawaysill/load/layout/NodeSettingsText.java
+++ b/load/src/main/java/org/carawaysill/load/layout/NodeSettingsText.java
@@ -4,7 +4,7 @@
 import org.carawaysill.load.site.SiteCopy;
 import org.carawaysill.load.site.SiteCopy.Port;
 
-/** Writes a node's settings. Stateless and thread safe. */
+/** Generates the settings of a node. Stateless and thread safe. */
 public final class NodeSettingsText {
 
     private static final int MAXIMUM_BODY_BYTES = 1 << 20;
@@ -13,10 +13,10 @@
     private NodeSettingsText() {}
 
     /**
-     * Writes the settings.
+     * Returns the settings.
      *
      * @param copy the copy beside which the node runs
-     * @param policy the policy that it runs
+     * @param policy the policy that the node runs
      * @return the TOML text
      */
     public static String of(SiteCopy copy, PolicyName policy) {
--- a/load/src/main/java/org/carawaysill/load/layout/PolicyName.java
+++ b/load/src/main/java/org/carawaysill/load/layout/PolicyName.java
@@ -6,11 +6,11 @@
 public enum PolicyName {
     /** Plain forwarding with fixed retries at each hop. */
     BASELINE,
-    /** The project's own. */
+    /** The policy of this project. */
     CARAWAYSILL;
 
     /**
-     * Gives the name in settings.
+     * Returns the name in settings.
      *
      * @return the name in lower case
      */
--- a/load/src/main/java/org/carawaysill/load/layout/ProcessLine.java
+++ b/load/src/main/java/org/carawaysill/load/layout/ProcessLine.java
@@ -5,11 +5,11 @@
 import java.util.stream.Stream;
 
 /**
- * One process that the launcher starts.
+ * A process that the launcher starts.
  *
- * <p>Invariant: no part holds a tab or a line end, so that a line can be split at tabs. Immutable and thread safe.
+ * <p>Invariant: no part contains a tab or a line feed, so that a line can be split at tabs. Immutable and thread safe.
  *
- * @param name the process's name, also that of its log
+ * @param name the name of the process and of its log file
  * @param program the program
  * @param arguments the program's arguments
  */
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Writes the line.
+     * Returns the text of the line.
      *
-     * @return name, program and arguments with tabs between
+     * @return name, program and arguments, separated by tabs
      */
     public String text() {
         return Stream.concat(Stream.of(name, program.text()), arguments.stream())
--- a/load/src/main/java/org/carawaysill/load/layout/Program.java
+++ b/load/src/main/java/org/carawaysill/load/layout/Program.java
@@ -10,9 +10,9 @@
     STANDIN;
 
     /**
-     * Gives the launcher's word for the program.
+     * Returns the launcher's name of the program.
      *
-     * @return the word
+     * @return the name in lower case
      */
     public String text() {
         return name().toLowerCase(Locale.ROOT);
--- a/load/src/main/java/org/carawaysill/load/layout/SiteLayout.java
+++ b/load/src/main/java/org/carawaysill/load/layout/SiteLayout.java
@@ -8,14 +8,14 @@
 import org.carawaysill.load.site.SiteCopy.Port;
 
 /**
- * The files of one site on loopback under one policy.
+ * The files and processes of a site on loopback under one policy.
  *
  * <p>Immutable and thread safe.
  *
  * @param site the site
- * @param siteDirectory the directory that holds the site's {@code configuration} and {@code graphs}
+ * @param siteDirectory the directory that contains the site's {@code configuration} and {@code graphs}
  * @param policy the policy that the nodes run
- * @param directory the directory of the files written
+ * @param directory the directory for the generated files
  */
 public record SiteLayout(Site site, Path siteDirectory, PolicyName policy, Path directory) {
 
@@ -23,7 +23,7 @@
     private static final int COLD_START_MILLISECONDS = 0;
 
     /**
-     * Lists the processes, those first that others read from.
+     * Returns the processes; a process that others read from comes before them.
      *
      * @return one entry for each process
      */
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Gives the file of a copy's node settings.
+     * Returns the settings file of a copy's node.
      *
      * @param copy the copy
      * @return the file, in the layout's directory
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Gives the file with the VM list at the start.
+     * Returns the file with the initial VM list.
      *
      * @return the file, in the layout's directory
      */
--- a/load/src/main/java/org/carawaysill/load/layout/VmListText.java
+++ b/load/src/main/java/org/carawaysill/load/layout/VmListText.java
@@ -6,13 +6,13 @@
 import org.carawaysill.load.site.Site;
 import org.carawaysill.load.site.SiteCopy;
 
-/** Writes the VM list that the stand-in starts with. Stateless and thread safe. */
+/** Generates the initial VM list of the stand-in. Stateless and thread safe. */
 public final class VmListText {
 
     private VmListText() {}
 
     /**
-     * Lists copies as live VMs.
+     * Returns a list with the copies as live VMs.
      *
      * @param copies the copies
      * @return the JSON text
--- a/load/src/main/java/org/carawaysill/load/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/package-info.java
@@ -1,4 +1,4 @@
-/** Load, scenarios, reports and plots. */
+/** The load program: scenarios, load generation, reports and plots. */
 @NullMarked
 package org.carawaysill.load;
 
--- a/load/src/main/java/org/carawaysill/load/platform/BenchException.java
+++ b/load/src/main/java/org/carawaysill/load/platform/BenchException.java
@@ -1,6 +1,6 @@
 package org.carawaysill.load.platform;
 
-/** A process of the bench did not do what the bench needs. Immutable and thread safe. */
+/** Signals that a process of the bench failed or gave no usable answer. Immutable and thread safe. */
 public final class BenchException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -9,8 +9,8 @@
      * Creates the error.
      *
      * @param port the process's port
-     * @param path the path that was asked for
-     * @param message what happened
+     * @param path the requested path
+     * @param message a description of the failure
      */
     public BenchException(int port, String path, String message) {
         super("port " + port + " " + path + ": " + message);
--- a/load/src/main/java/org/carawaysill/load/platform/BenchHttp.java
+++ b/load/src/main/java/org/carawaysill/load/platform/BenchHttp.java
@@ -12,7 +12,7 @@
 import org.carawaysill.load.site.Site;
 
 /**
- * Calls the admin interfaces of processes on loopback. Thread safe.
+ * HTTP client for the admin interfaces of processes on loopback. Thread safe.
  */
 public final class BenchHttp {
 
@@ -23,7 +23,7 @@
     private final WebClient client;
 
     /**
-     * Creates the caller.
+     * Creates the client.
      *
      * @param vertx the event loop
      */
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Reads a text.
+     * Reads a text document.
      *
      * @param port the process's port
      * @param path the path
@@ -74,14 +74,14 @@
     }
 
     /**
-     * Tells a process what to do.
+     * Sends a JSON document to a process.
      *
      * @param port the process's port
      * @param path the path
-     * @param body what to do
+     * @param body the document
      * @return nothing, or a {@link BenchException}
      */
-    public Future<Void> tell(int port, String path, JsonObject body) {
+    public Future<Void> put(int port, String path, JsonObject body) {
         return request(HttpMethod.PUT, port, path)
                 .sendJsonObject(body)
                 .compose(response -> checked(response, port, path))
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Publishes a document at a process that stands in for the platform.
+     * Publishes a document at a stand-in for the platform.
      *
      * @param port the process's port
      * @param path the path
--- a/load/src/main/java/org/carawaysill/load/platform/Faults.java
+++ b/load/src/main/java/org/carawaysill/load/platform/Faults.java
@@ -16,7 +16,7 @@
 import org.carawaysill.model.identity.AvailabilityZone;
 
 /**
- * Brings triggers about by the fault switches of stand-ins and nodes. Thread safe.
+ * Injects the faults of triggers through the fault endpoints of stand-ins and nodes. Thread safe.
  */
 public final class Faults {
 
@@ -24,9 +24,9 @@
     private final Site site;
 
     /**
-     * Creates the switches.
+     * Creates the fault injection for a site.
      *
-     * @param http the caller of admin interfaces
+     * @param http the client for admin interfaces
      * @param site the site
      */
     public Faults(BenchHttp http, Site site) {
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Makes just these things go wrong from now on, and nothing else.
+     * Starts the given triggers; no other trigger stays active at the copies.
      *
-     * @param triggers what goes wrong
+     * @param triggers the triggers to start
      * @return nothing, or a {@link BenchException}
      */
     public Future<Void> start(List<Trigger> triggers) {
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Ends what went wrong.
+     * Ends triggers.
      *
-     * @param triggers what went wrong
+     * @param triggers the triggers to end
      * @return nothing, or a {@link BenchException}
      */
     public Future<Void> end(List<Trigger> triggers) {
@@ -65,12 +65,12 @@
     /**
      * Takes the configuration service down, or up again.
      *
-     * @param down whether it is down from now on
+     * @param down whether to take it down
      * @return nothing, or a {@link BenchException}
      */
     public Future<Void> configurationDown(boolean down) {
         JsonObject mode = new JsonObject().put("mode", down ? "down" : "up").put("delayMilliseconds", 0);
-        return http.tell(Site.CONFIGURATION_PORT, "/faults", mode);
+        return http.put(Site.CONFIGURATION_PORT, "/faults", mode);
     }
 
     private Future<Void> behave(SiteCopy copy, List<Trigger> triggers) {
@@ -85,7 +85,7 @@
                 case ZonesCut cut -> {}
             }
         }
-        return http.tell(copy.number(Port.COPY), "/behaviour", behaviour);
+        return http.put(copy.number(Port.COPY), "/behaviour", behaviour);
     }
 
     private boolean slowed(SiteCopy copy) {
@@ -112,6 +112,6 @@
     private Future<Void> block(SiteCopy copy, List<SiteCopy> blocked) {
         JsonArray names = new JsonArray();
         blocked.forEach(other -> names.add(other.name().value()));
-        return http.tell(copy.number(Port.ADMIN), "/faults", new JsonObject().put("blockedPeers", names));
+        return http.put(copy.number(Port.ADMIN), "/faults", new JsonObject().put("blockedPeers", names));
     }
 }
--- a/load/src/main/java/org/carawaysill/load/platform/Readiness.java
+++ b/load/src/main/java/org/carawaysill/load/platform/Readiness.java
@@ -11,7 +11,7 @@
 import org.carawaysill.load.site.SiteCopy.Port;
 
 /**
- * Waits until every process of a site serves.
+ * Waits until all processes of a site serve requests.
  *
  * <p>Not thread safe: used on one event loop.
  */
@@ -23,10 +23,10 @@
     private final BenchHttp http;
 
     /**
-     * Creates the wait.
+     * Creates the check.
      *
      * @param vertx the event loop
-     * @param http the caller of admin interfaces
+     * @param http the client for admin interfaces
      */
     public Readiness(Vertx vertx, BenchHttp http) {
         this.vertx = vertx;
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Waits.
+     * Waits until all processes serve.
      *
      * @param site the site
-     * @param limit how long to wait at most
+     * @param limit the maximum time to wait
      * @return nothing, or the {@link BenchException} of a process that does not serve within the limit
      */
     public Future<Void> await(Site site, Duration limit) {
@@ -71,6 +71,6 @@
         return pause.future();
     }
 
-    /** What to ask a process. Immutable and thread safe. */
+    /** The port and path of a readiness check. Immutable and thread safe. */
     private record Probe(int port, String path) {}
 }
--- a/load/src/main/java/org/carawaysill/load/platform/RunLogs.java
+++ b/load/src/main/java/org/carawaysill/load/platform/RunLogs.java
@@ -20,7 +20,7 @@
 public final class RunLogs {
 
     private static final Duration INTERVAL = Duration.ofMillis(200);
-    private static final int MOST_WAITS = 25;
+    private static final int MAXIMUM_WAITS = 25;
 
     private final Vertx vertx;
     private final BenchHttp http;
@@ -30,7 +30,7 @@
      * Creates the collector.
      *
      * @param vertx the event loop
-     * @param http the caller of admin interfaces
+     * @param http the client for admin interfaces
      * @param site the site
      */
     public RunLogs(Vertx vertx, BenchHttp http, Site site) {
@@ -40,16 +40,16 @@
     }
 
     /**
-     * Reads the logs of all copies, once they have ended what they had begun, or after five seconds.
+     * Reads the logs of all copies once no requests are running, or after five seconds at the latest.
      *
-     * @return what they ran, or a {@link BenchException}
+     * @return the runs of all copies, or a {@link BenchException}
      */
     public Future<RunLog> collect() {
-        return idle(MOST_WAITS).compose(ignored -> read());
+        return idle(MAXIMUM_WAITS).compose(ignored -> read());
     }
 
-    // A request that was refused but still waits somewhere would run after its client has gone: a log that is read at
-    // once would not show it.
+    // A refused request that still waits somewhere could run after its client has disconnected; a log that is read
+    // immediately would not contain that run.
     private Future<Void> idle(int waits) {
         List<Future<Boolean>> copies = site.copies().stream().map(this::idle).toList();
         return pause().compose(ignored -> Future.all(copies))
--- a/load/src/main/java/org/carawaysill/load/platform/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/platform/package-info.java
@@ -1,4 +1,4 @@
-/** The admin interfaces of nodes and stand-ins, as a bench uses them. */
+/** Access to the admin interfaces of nodes and stand-ins. */
 @NullMarked
 package org.carawaysill.load.platform;
 
--- a/load/src/main/java/org/carawaysill/load/plot/Frame.java
+++ b/load/src/main/java/org/carawaysill/load/plot/Frame.java
@@ -3,12 +3,12 @@
 import java.util.Locale;
 
 /**
- * Where figures lie in a drawing.
+ * The coordinate system of a plot.
  *
  * <p>Immutable and thread safe.
  *
  * @param seconds the time at the right edge
- * @param perSecond the rate at the upper edge
+ * @param perSecond the rate at the top edge
  */
 record Frame(double seconds, double perSecond) {
 
@@ -32,11 +32,11 @@
     }
 
     /**
-     * Chooses the distance of marks on an axis.
+     * Returns the distance between tick marks on an axis.
      *
      * @param span the length of the axis
-     * @param marks how many marks there may be
-     * @return the smallest of 1, 2 or 5 times a power of ten that needs no more
+     * @param marks the maximum number of tick marks
+     * @return the smallest of 1, 2 or 5 times a power of ten that does not exceed that number
      */
     static double step(double span, int marks) {
         double power = Math.pow(10, Math.floor(Math.log10(span / marks)));
--- a/load/src/main/java/org/carawaysill/load/plot/GoodputPlot.java
+++ b/load/src/main/java/org/carawaysill/load/plot/GoodputPlot.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import org.carawaysill.load.report.Played;
+import org.carawaysill.load.report.RunParameters;
 import org.carawaysill.load.report.RunReport;
 import org.carawaysill.load.report.Series;
-import org.carawaysill.load.report.Series.Stretch;
+import org.carawaysill.load.report.Series.Interval;
 
 /**
- * Draws the goodput of runs of the same load over time, as SVG, with the triggers marked.
+ * Plots the goodput of runs of the same load over time as SVG, with the triggers marked.
  *
  * <p>Immutable and thread safe.
  */
@@ -28,7 +28,7 @@
     private final Frame frame;
 
     /**
-     * Prepares a drawing.
+     * Creates a plot.
      *
      * @param reports runs of the same load, at least one
      */
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Draws.
+     * Renders the plot.
      *
      * @return the SVG document
      */
@@ -61,7 +61,7 @@
         return svg.append(Svg.close()).toString();
     }
 
-    private String mark(Stretch trigger) {
+    private String mark(Interval trigger) {
         String left = frame.x(trigger.startSeconds());
         String right = frame.x(trigger.endSeconds());
         String label = Svg.text(left, Frame.text(Frame.TOP + 14), "start", "#8a6d00", "trigger");
@@ -111,7 +111,7 @@
     }
 
     private String title() {
-        Played played = reports.getFirst().played();
+        RunParameters played = reports.getFirst().played();
         String text = "Goodput of whole requests per second: site %s, scenario %s, seed %d"
                 .formatted(played.site(), played.scenario(), played.seed());
         return Svg.text(Frame.text(Frame.LEFT), Frame.text(Frame.TOP - 20), "start", OTHER_COLOUR, text);
--- a/load/src/main/java/org/carawaysill/load/plot/Svg.java
+++ b/load/src/main/java/org/carawaysill/load/plot/Svg.java
@@ -1,6 +1,6 @@
 package org.carawaysill.load.plot;
 
-/** Elements of an SVG document, one a line. Stateless and thread safe. */
+/** Generates elements of an SVG document, one per line. Stateless and thread safe. */
 final class Svg {
 
     private Svg() {}
--- a/load/src/main/java/org/carawaysill/load/plot/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/plot/package-info.java
@@ -1,4 +1,4 @@
-/** Drawings of goodput over time. */
+/** Plots of goodput over time. */
 @NullMarked
 package org.carawaysill.load.plot;
 
--- a/load/src/main/java/org/carawaysill/load/report/BenchState.java
+++ b/load/src/main/java/org/carawaysill/load/report/BenchState.java
@@ -1,12 +1,12 @@
 package org.carawaysill.load.report;
 
 /**
- * How far the machine allows the figures of a run to be believed.
+ * The state of the machine during a run, which shows how reliable the run's figures are.
  *
  * <p>Immutable and thread safe.
  *
- * @param sentLateMillisecondsP99 by how much the bench itself was late, at the 99th percentile of the triggers' requests
- * @param processorsBusyMax the busy share of the machine's processors in its busiest second of the triggers
- * @param processorsBusyMean the same on average
+ * @param sentLateMillisecondsP99 the 99th percentile of the sending delay of the load generator during the triggers
+ * @param processorsBusyMax the maximum processor utilisation in one second of the triggers
+ * @param processorsBusyMean the mean processor utilisation during the triggers
  */
 public record BenchState(double sentLateMillisecondsP99, double processorsBusyMax, double processorsBusyMean) {}
--- a/load/src/main/java/org/carawaysill/load/report/Buckets.java
+++ b/load/src/main/java/org/carawaysill/load/report/Buckets.java
@@ -8,7 +8,7 @@
 import org.carawaysill.load.scenario.Window;
 
 /**
- * Requests sent and answered, counted in buckets of a tenth of a second.
+ * The numbers of requests sent and answered, in buckets of 100 milliseconds.
  *
  * <p>Immutable and thread safe.
  */
@@ -58,8 +58,8 @@
     }
 
     Series series() {
-        List<Series.Stretch> triggers =
-                timeline.triggers().stream().map(Buckets::stretch).toList();
+        List<Series.Interval> triggers =
+                timeline.triggers().stream().map(Buckets::interval).toList();
         return new Series(
                 BUCKET_NANOS / NANOS_PER_SECOND,
                 Arrays.stream(sent).boxed().toList(),
@@ -67,7 +67,7 @@
                 triggers);
     }
 
-    private static Series.Stretch stretch(Window window) {
-        return new Series.Stretch(window.startNanos() / NANOS_PER_SECOND, window.endNanos() / NANOS_PER_SECOND);
+    private static Series.Interval interval(Window window) {
+        return new Series.Interval(window.startNanos() / NANOS_PER_SECOND, window.endNanos() / NANOS_PER_SECOND);
     }
 }
--- a/load/src/main/java/org/carawaysill/load/report/Chain.java
+++ b/load/src/main/java/org/carawaysill/load/report/Chain.java
@@ -4,12 +4,12 @@
 import org.carawaysill.load.audit.NodeCounters;
 
 /**
- * What the copies of a chain ran, and what its nodes counted.
+ * The runs of the copies of a call chain, and the counters of its nodes.
  *
  * <p>Immutable and thread safe.
  *
- * @param mostRunsByHop the most runs of one request at each hop
- * @param nodes what the nodes counted
+ * @param mostRunsByHop the maximum number of runs of one request at each hop
+ * @param nodes the counters of the nodes
  */
 public record Chain(Map<String, Integer> mostRunsByHop, NodeCounters nodes) {
 
--- a/load/src/main/java/org/carawaysill/load/report/Comparison.java
+++ b/load/src/main/java/org/carawaysill/load/report/Comparison.java
@@ -6,6 +6,6 @@
  * <p>Immutable and thread safe.
  *
  * @param baseline plain forwarding with fixed retries at each hop
- * @param carawaysill the project's own policy
+ * @param carawaysill the policy of this project
  */
 public record Comparison(RunReport baseline, RunReport carawaysill) {}
--- a/load/src/main/java/org/carawaysill/load/report/ComparisonTable.java
+++ b/load/src/main/java/org/carawaysill/load/report/ComparisonTable.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Writes two reports side by side. Stateless and thread safe. */
+/** Formats two reports as a table side by side. Stateless and thread safe. */
 public final class ComparisonTable {
 
     private static final int PERCENT = 100;
@@ -16,7 +16,7 @@
     private ComparisonTable() {}
 
     /**
-     * Writes the table.
+     * Returns the table.
      *
      * @param comparison the two reports
      * @return lines, each with a line end
@@ -61,7 +61,7 @@
             new Figure("processors busy, most", report -> percent(report.bench().processorsBusyMax(), 0)),
             new Figure("violations", report -> String.valueOf(report.violations())));
 
-    private static String heading(Played played) {
+    private static String heading(RunParameters played) {
         return "site %s, scenario %s, seed %d, %d s a policy%n"
                 .formatted(played.site(), played.scenario(), played.seed(), played.seconds());
     }
@@ -105,10 +105,10 @@
         return number(PERCENT * ratio, digits) + "%";
     }
 
-    /** One figure of a report. Immutable and thread safe. */
+    /** A figure of a report. Immutable and thread safe. */
     private record Figure(String name, Function<RunReport, String> text) {}
 
-    /** One line of the table. Immutable and thread safe. */
+    /** A line of the table. Immutable and thread safe. */
     private record Row(String name, String baseline, String carawaysill) {
 
         String text(int width) {
--- a/load/src/main/java/org/carawaysill/load/report/Latency.java
+++ b/load/src/main/java/org/carawaysill/load/report/Latency.java
@@ -3,25 +3,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Latencies of a set of requests, in milliseconds, counted from the intended sending.
+ * Latencies of a set of requests in milliseconds, counted from the intended sending time.
  *
  * <p>Immutable and thread safe.
  *
- * @param count how many requests
+ * @param count the number of requests
  * @param p50 the median
  * @param p90 the 90th percentile
  * @param p99 the 99th percentile
- * @param max the longest
+ * @param max the maximum
  */
 public record Latency(long count, double p50, double p90, double p99, double max) {
 
     private static final double MICROSECONDS_PER_MILLISECOND = 1000.0;
 
     /**
-     * Reads a histogram.
+     * Returns the percentiles of a histogram.
      *
      * @param histogram latencies in microseconds
-     * @return its percentiles
+     * @return the percentiles
      */
     public static Latency of(Histogram histogram) {
         return new Latency(
--- a/load/src/main/java/org/carawaysill/load/report/Recovery.java
+++ b/load/src/main/java/org/carawaysill/load/report/Recovery.java
@@ -3,17 +3,17 @@
 import org.carawaysill.load.scenario.Window;
 
 /**
- * The time from a trigger's end to the return of the normal goodput.
+ * The time from the end of a trigger until goodput is normal again.
  *
- * <p>Goodput is normal again from the first bucket from which, for a second, as many whole requests come as 95% of the
- * normal rate, or of those sent in that second if they are fewer: arrivals are random, and a second in which few were sent
- * must not count as a failure to recover. The normal rate is the one at which requests are sent; it is below what the
- * bottleneck serves.
+ * <p>Goodput is normal again from the first bucket after which, during one second, the complete answers reach 95% of
+ * the normal rate, or of the requests sent in that second if they are fewer. Since arrivals are random, a second with
+ * few requests must not count as a failure to recover. The normal rate is the one at which requests are sent; it is
+ * below the bottleneck's capacity.
  *
  * <p>Immutable and thread safe.
  *
- * @param seconds the time, or the time watched if the normal goodput did not come back
- * @param complete whether it came back
+ * @param seconds the time, or the length of the recovery window if goodput did not become normal
+ * @param complete whether goodput became normal
  */
 record Recovery(double seconds, boolean complete) {
 
--- a/load/src/main/java/org/carawaysill/load/report/ReportBuilder.java
+++ b/load/src/main/java/org/carawaysill/load/report/ReportBuilder.java
@@ -22,7 +22,7 @@
 import org.carawaysill.load.scenario.Window;
 
 /**
- * Works a report out of what a run recorded.
+ * Computes a report from the recorded data of a run.
  *
  * <p>Immutable and thread safe.
  */
@@ -41,7 +41,7 @@
     /**
      * Creates the builder.
      *
-     * @param outcome what the run recorded
+     * @param outcome the recorded data of the run
      */
     public ReportBuilder(RunOutcome outcome) {
         settings = outcome.settings();
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Works the report out.
+     * Computes the report.
      *
      * @return the report
      */
@@ -79,8 +79,8 @@
                 buckets.series());
     }
 
-    private Played played() {
-        return new Played(
+    private RunParameters played() {
+        return new RunParameters(
                 settings.policy(),
                 settings.site().name(),
                 settings.scenario().text(),
--- a/load/src/main/java/org/carawaysill/load/report/ReportFiles.java
+++ b/load/src/main/java/org/carawaysill/load/report/ReportFiles.java
@@ -16,8 +16,8 @@
     /**
      * Writes a report or a comparison.
      *
-     * @param file where to
-     * @param report what
+     * @param file the file to write
+     * @param report the report or comparison
      * @throws IOException if the file can't be written
      */
     public static void write(Path file, Record report) throws IOException {
@@ -27,7 +27,7 @@
     /**
      * Reads a report.
      *
-     * @param file where from
+     * @param file the file to read
      * @return the report
      * @throws IOException if the file can't be read or is no report
      */
--- a/load/src/main/java/org/carawaysill/load/report/RunReport.java
+++ b/load/src/main/java/org/carawaysill/load/report/RunReport.java
@@ -3,29 +3,31 @@
 import java.util.Map;
 
 /**
- * What one run came to, as written to a file.
+ * The report of a run, as written to a file.
  *
  * <p>Immutable and thread safe.
  *
- * @param played what was played
- * @param goodputPerSecond whole requests answered during the triggers
- * @param goodputRatio time of the bottleneck's slots that whole requests used during the triggers, over all there was
- * @param recoverySeconds from a trigger's end to the normal goodput; the longest, or the time watched if it never came
- * @param recovered whether the normal goodput came back after each trigger
- * @param attemptsPerRequestMax the most runs of one request, over all copies of the chain
- * @param attemptsPerRequestMean the same on average
- * @param importantAnsweredRatio share of important and critical requests sent during the triggers that were answered
- * @param violations how many promises were broken, as seen from outside or noticed by the nodes themselves
- * @param violationsByKind the same by kind
+ * @param played the parameters of the run
+ * @param goodputPerSecond requests answered completely per second during the triggers
+ * @param goodputRatio the share of the bottleneck's slot time during the triggers that completely answered requests
+ *     used
+ * @param recoverySeconds the longest time from a trigger's end to normal goodput, or the length of the recovery window
+ * @param recovered whether goodput became normal after each trigger
+ * @param attemptsPerRequestMax the maximum number of runs of one request, over all copies of the chain
+ * @param attemptsPerRequestMean the mean number of runs of one request, over all copies of the chain
+ * @param importantAnsweredRatio the share of important and critical requests sent during the triggers that were
+ *     answered
+ * @param violations the number of violations, found from outside or noticed by the nodes themselves
+ * @param violationsByKind the number of violations by kind
  * @param refusalsByReason refusals that clients saw, by reason
- * @param latencyMilliseconds time to a whole answer, by phase
- * @param traffic what callers sent and got
- * @param chain what copies ran and nodes counted
- * @param bench how far the machine allows the rest to be believed
+ * @param latencyMilliseconds the latencies of complete answers, by phase
+ * @param traffic the requests of callers and their results
+ * @param chain the runs of the copies and the counters of the nodes
+ * @param bench the state of the machine, which shows how reliable the figures are
  * @param series goodput over time
  */
 public record RunReport(
-        Played played,
+        RunParameters played,
         double goodputPerSecond,
         double goodputRatio,
         double recoverySeconds,
--- a/load/src/main/java/org/carawaysill/load/report/Series.java
+++ b/load/src/main/java/org/carawaysill/load/report/Series.java
@@ -10,9 +10,9 @@
  * @param bucketSeconds the length of one bucket
  * @param sent requests sent in each bucket, without their clients' retries
  * @param whole requests answered completely in each bucket
- * @param triggers when something was wrong, in seconds from the run's start
+ * @param triggers the intervals in which triggers were active
  */
-public record Series(double bucketSeconds, List<Integer> sent, List<Integer> whole, List<Stretch> triggers) {
+public record Series(double bucketSeconds, List<Integer> sent, List<Integer> whole, List<Interval> triggers) {
 
     public Series {
         sent = List.copyOf(sent);
@@ -21,10 +21,10 @@
     }
 
     /**
-     * A stretch of a run.
+     * A time interval of a run.
      *
      * @param startSeconds seconds from the run's start
      * @param endSeconds seconds from the run's start
      */
-    public record Stretch(double startSeconds, double endSeconds) {}
+    public record Interval(double startSeconds, double endSeconds) {}
 }
--- a/load/src/main/java/org/carawaysill/load/report/SlotUse.java
+++ b/load/src/main/java/org/carawaysill/load/report/SlotUse.java
@@ -11,8 +11,9 @@
 import org.carawaysill.load.site.Site;
 
 /**
- * How much of the bottleneck's slots whole requests used during the triggers. It weighs each request by the time for which
- * it holds a slot, so that a policy gains nothing by preferring requests that cost little.
+ * Computes the share of the bottleneck's slot time that completely answered requests used during the triggers. Each
+ * request is weighted by the time for which it holds a slot, so that a policy gains nothing by preferring cheap
+ * requests.
  *
  * <p>Immutable and thread safe.
  */
@@ -58,7 +59,7 @@
         return used / available;
     }
 
-    // The request held its slot for the last part of the time up to its answer; what lies inside the trigger counts.
+    // Assumes that the request held its slot right before its answer, and counts the part inside the trigger.
     private double usedNanos(RequestRecord request, Window trigger) {
         boolean startedBefore = request.arrival().atNanos() < trigger.startNanos();
         Map<LoadOperation, Double> holds = startedBefore ? normalNanos : slowedNanos;
--- a/load/src/main/java/org/carawaysill/load/report/Traffic.java
+++ b/load/src/main/java/org/carawaysill/load/report/Traffic.java
@@ -3,17 +3,17 @@
 import java.util.Map;
 
 /**
- * What callers sent and got.
+ * The requests of callers and their results.
  *
  * <p>Immutable and thread safe.
  *
- * @param requests the requests sent
- * @param triesPerRequest how often a client sent a request, on average
- * @param triesByResult all tries by what they came to
- * @param capacityPerSecond what the bottleneck could serve of the normal mix with nothing wrong
- * @param steadyPerSecond goodput of whole requests in the steady phase
- * @param offeredPerSecond requests sent during the triggers, without their clients' retries
- * @param answeredByOperation share of requests sent during the triggers that were answered, by kind
+ * @param requests the number of requests sent
+ * @param triesPerRequest the mean number of tries per request
+ * @param triesByResult the number of tries by result
+ * @param capacityPerSecond the bottleneck's capacity for the normal mix without triggers
+ * @param steadyPerSecond requests answered completely per second in the steady phase
+ * @param offeredPerSecond requests sent per second during the triggers, without their clients' retries
+ * @param answeredByOperation the share of requests sent during the triggers that were answered, by operation
  */
 public record Traffic(
         int requests,
--- a/load/src/main/java/org/carawaysill/load/report/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/report/package-info.java
@@ -1,4 +1,4 @@
-/** What a run came to. */
+/** Reports of runs. */
 @NullMarked
 package org.carawaysill.load.report;
 
--- a/load/src/main/java/org/carawaysill/load/run/LoadRun.java
+++ b/load/src/main/java/org/carawaysill/load/run/LoadRun.java
@@ -20,7 +20,7 @@
 import org.carawaysill.load.site.SiteCopy.Port;
 
 /**
- * Plays one scenario against a running site.
+ * Runs one scenario against a running site.
  *
  * <p>Not thread safe: used on one event loop.
  */
@@ -37,9 +37,9 @@
     /**
      * Creates a run.
      *
-     * @param settings what it does
+     * @param settings the settings of the run
      * @param vertx the event loop, of one thread
-     * @param out where progress lines go
+     * @param out the stream for progress lines
      */
     public LoadRun(RunSettings settings, Vertx vertx, PrintStream out) {
         this.settings = settings;
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Plays the scenario from the first process's readiness to the last copy's run log.
+     * Waits until the site is ready, runs the scenario and collects the run logs of the copies.
      *
-     * @return what happened, or a {@link org.carawaysill.load.platform.BenchException}
+     * @return the outcome, or a {@link org.carawaysill.load.platform.BenchException}
      */
     public Future<RunOutcome> play() {
         return new Readiness(vertx, http)
--- a/load/src/main/java/org/carawaysill/load/run/ProcessorSample.java
+++ b/load/src/main/java/org/carawaysill/load/run/ProcessorSample.java
@@ -4,12 +4,12 @@
 import java.lang.management.ManagementFactory;
 
 /**
- * How busy the machine's processors were since the last sample.
+ * The utilisation of the machine's processors since the last sample.
  *
  * <p>Immutable and thread safe.
  *
  * @param atNanos nanoseconds from the run's start
- * @param busyRatio the busy share of all processors, from 0 to 1
+ * @param busyRatio the utilisation of all processors, from 0 to 1
  */
 public record ProcessorSample(long atNanos, double busyRatio) {
 
--- a/load/src/main/java/org/carawaysill/load/run/Progress.java
+++ b/load/src/main/java/org/carawaysill/load/run/Progress.java
@@ -8,7 +8,7 @@
 import org.carawaysill.load.scenario.Timeline;
 
 /**
- * Prints a line a second while a run lasts, and samples how busy the machine is.
+ * Prints a progress line every second during a run, and samples the processor utilisation.
  *
  * <p>Not thread safe: used on one event loop.
  */
--- a/load/src/main/java/org/carawaysill/load/run/RunOutcome.java
+++ b/load/src/main/java/org/carawaysill/load/run/RunOutcome.java
@@ -4,13 +4,13 @@
 import org.carawaysill.load.audit.Audit;
 
 /**
- * The raw material of a report.
+ * The recorded data of a run, from which a report is computed.
  *
  * <p>Immutable and thread safe.
  *
- * @param settings what the run did
- * @param audit the requests and what the copies ran
- * @param processors how busy the machine was
+ * @param settings the settings of the run
+ * @param audit the requests and the runs of the copies
+ * @param processors the samples of processor utilisation
  */
 public record RunOutcome(RunSettings settings, Audit audit, List<ProcessorSample> processors) {
 
--- a/load/src/main/java/org/carawaysill/load/run/RunSettings.java
+++ b/load/src/main/java/org/carawaysill/load/run/RunSettings.java
@@ -9,17 +9,17 @@
 import org.carawaysill.load.site.Site;
 
 /**
- * What one run does.
+ * Settings of a run.
  *
  * <p>Immutable and thread safe.
  *
  * @param policy the name of the policy under test, for reports
  * @param site the site
- * @param scenario what it plays
- * @param seed the seed of all its draws
- * @param seconds its length
- * @param clients how patient callers are
- * @param readyWithin how long to wait for the site's processes to serve
+ * @param scenario the scenario
+ * @param seed the seed of all random draws
+ * @param seconds the length of the run
+ * @param clients the timeout and retry settings of callers
+ * @param readyWithin how long to wait until the site's processes serve
  */
 public record RunSettings(
         String policy,
@@ -31,7 +31,7 @@
         Duration readyWithin) {
 
     /**
-     * Gives the phases.
+     * Returns the phases.
      *
      * @return the phases
      */
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Gives the rates.
+     * Returns the rates.
      *
      * @return the rates
      */
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Gives the arrivals.
+     * Returns the schedule of arrivals.
      *
      * @return the schedule
      */
--- a/load/src/main/java/org/carawaysill/load/run/Sender.java
+++ b/load/src/main/java/org/carawaysill/load/run/Sender.java
@@ -10,10 +10,10 @@
 import org.carawaysill.load.schedule.Arrival;
 
 /**
- * Sends each request at its time, whatever became of the earlier ones.
+ * Sends each request at its scheduled time, whether or not earlier requests have ended (an open-loop load generator).
  *
- * <p>Invariant: every arrival is sent once and recorded once. Not thread safe: used on one event loop; the counts may be
- * read from it alone too.
+ * <p>Invariant: every arrival is sent once and recorded once. Not thread safe: used on one event loop, where the counts
+ * must be read too.
  */
 final class Sender {
 
--- a/load/src/main/java/org/carawaysill/load/run/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/run/package-info.java
@@ -1,4 +1,4 @@
-/** One run of a load against a running site. */
+/** Runs of a load against a running site. */
 @NullMarked
 package org.carawaysill.load.run;
 
--- a/load/src/main/java/org/carawaysill/load/scenario/Scenario.java
+++ b/load/src/main/java/org/carawaysill/load/scenario/Scenario.java
@@ -10,21 +10,21 @@
 import org.carawaysill.load.scenario.Trigger.Surge;
 import org.carawaysill.load.scenario.Trigger.ZonesCut;
 
-/** The scenarios that a run can play. Immutable and thread safe. */
+/** The scenarios of a run. Immutable and thread safe. */
 public enum Scenario {
     /** Demand doubles. */
     SURGE(List.of(new Surge(2))),
     /** The deep service slows down. */
     SLOW(List.of(new SlowService(5))),
-    /** Both at once. */
+    /** Demand doubles and the deep service slows down. */
     BOTH(List.of(new Surge(2), new SlowService(5))),
-    /** Both at once, and a copy of the bottleneck goes down. */
+    /** Demand doubles, the deep service slows down and a copy of the bottleneck goes down. */
     KILL(List.of(new Surge(2), new SlowService(5), new CopyDown())),
-    /** Two availability zones are cut off from each other during a surge. */
+    /** Two availability zones can't reach each other while demand doubles. */
     ZONES(List.of(new Surge(2), new ZonesCut())),
-    /** Both at once, with the configuration service down from before the first request. */
+    /** Demand doubles and the deep service slows down, while the configuration service is down during the whole run. */
     CONFIGURATION_DOWN(List.of(new Surge(2), new SlowService(5))),
-    /** Both at once, twice. */
+    /** Demand doubles and the deep service slows down, twice in succession. */
     TWICE(List.of(new Surge(2), new SlowService(5)));
 
     private final List<Trigger> triggers;
@@ -46,16 +46,16 @@
     }
 
     /**
-     * Lists the names.
+     * Returns the names of all scenarios.
      *
-     * @return all names with commas between
+     * @return the names, separated by commas
      */
     public static String names() {
         return Arrays.stream(values()).map(Scenario::text).collect(Collectors.joining(", "));
     }
 
     /**
-     * Gives the name on the command line.
+     * Returns the name on the command line.
      *
      * @return the name in lower case, with hyphens
      */
@@ -64,16 +64,16 @@
     }
 
     /**
-     * Lists what goes wrong.
+     * Returns the triggers of the scenario.
      *
-     * @return what starts at the trigger's start and ends at its end
+     * @return the triggers, which all start and end together
      */
     public List<Trigger> triggers() {
         return triggers;
     }
 
     /**
-     * Tells how often the trigger comes.
+     * Returns how often the triggers occur.
      *
      * @return the number of times
      */
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Tells whether the configuration service is down.
+     * Returns whether the configuration service is down.
      *
      * @return true if it is down from before the first request until after the last
      */
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Gives the surge.
+     * Returns the surge factor.
      *
      * @return the rate during the trigger as a multiple of the bottleneck's capacity, if it changes
      */
@@ -104,9 +104,9 @@
     }
 
     /**
-     * Gives the slowdown.
+     * Returns the slowdown factor.
      *
-     * @return how many times longer the deep service's work takes during the trigger; 1 if it does not change
+     * @return the factor on the deep service's service time during the trigger; 1 if it does not change
      */
     public double slowdown() {
         return triggers.stream()
--- a/load/src/main/java/org/carawaysill/load/scenario/Timeline.java
+++ b/load/src/main/java/org/carawaysill/load/scenario/Timeline.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * The phases of a run: a warm-up whose figures don't count, the normal rate, then each trigger and its recovery.
+ * The phases of a run: a warm-up that is not measured, a steady phase at the normal rate, then each trigger and its
+ * recovery.
  *
- * <p>Invariant: the windows follow one another without gaps. Immutable and thread safe.
+ * <p>Invariant: the windows are consecutive without gaps. Immutable and thread safe.
  *
- * @param warmUp until processes have compiled and learned
- * @param steady the normal rate, the reference for recovery
- * @param triggers each stretch in which something is wrong
- * @param recoveries the stretch after each trigger
+ * @param warmUp the time for just-in-time compilation and for the policies to adapt
+ * @param steady the phase at the normal rate, the reference for recovery
+ * @param triggers the windows in which the triggers are active
+ * @param recoveries the window after each trigger
  */
 public record Timeline(Window warmUp, Window steady, List<Window> triggers, List<Window> recoveries) {
 
@@ -25,9 +26,9 @@
     }
 
     /**
-     * Divides a run.
+     * Divides a run into phases.
      *
-     * @param scenario what the run plays
+     * @param scenario the scenario of the run
      * @param seconds the length of the whole run
      * @return its phases
      */
@@ -48,7 +49,7 @@
     }
 
     /**
-     * Gives the end of the last phase.
+     * Returns the end of the last phase.
      *
      * @return nanoseconds from the run's start
      */
@@ -57,7 +58,7 @@
     }
 
     /**
-     * Tells whether something is wrong at a moment.
+     * Returns whether a trigger is active at a given time.
      *
      * @param atNanos nanoseconds from the run's start
      * @return true inside a trigger
@@ -67,7 +68,7 @@
     }
 
     /**
-     * Names the phase of a moment.
+     * Returns the name of the phase at a given time.
      *
      * @param atNanos nanoseconds from the run's start
      * @return the phase's name in progress lines
--- a/load/src/main/java/org/carawaysill/load/scenario/Trigger.java
+++ b/load/src/main/java/org/carawaysill/load/scenario/Trigger.java
@@ -1,19 +1,19 @@
 package org.carawaysill.load.scenario;
 
-/** One thing that goes wrong during a run. Immutable and thread safe. */
+/** A disturbance during a run. Immutable and thread safe. */
 public sealed interface Trigger {
 
     /**
-     * Callers send more.
+     * Callers send more requests.
      *
-     * @param factor the rate of all requests, as a multiple of what the bottleneck serves
+     * @param factor the rate of all requests, as a multiple of the bottleneck's capacity
      */
     record Surge(double factor) implements Trigger {}
 
     /**
-     * Every copy of the deep service works slowly.
+     * Every copy of the deep service slows down.
      *
-     * @param factor how many times longer its work takes
+     * @param factor the factor on its service time
      */
     record SlowService(double factor) implements Trigger {}
 
--- a/load/src/main/java/org/carawaysill/load/scenario/Window.java
+++ b/load/src/main/java/org/carawaysill/load/scenario/Window.java
@@ -1,7 +1,7 @@
 package org.carawaysill.load.scenario;
 
 /**
- * A stretch of a run.
+ * A time interval of a run.
  *
  * <p>Invariant: it does not end before it starts. Immutable and thread safe.
  *
@@ -19,17 +19,17 @@
     }
 
     /**
-     * Tells whether a moment lies inside.
+     * Returns whether a time lies inside.
      *
      * @param atNanos nanoseconds from the run's start
-     * @return true from the start until just before the end
+     * @return true from the start, inclusive, to the end, exclusive
      */
     public boolean contains(long atNanos) {
         return atNanos >= startNanos && atNanos < endNanos;
     }
 
     /**
-     * Gives the length.
+     * Returns the length.
      *
      * @return seconds
      */
--- a/load/src/main/java/org/carawaysill/load/scenario/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/scenario/package-info.java
@@ -1,4 +1,4 @@
-/** What a run does to a site, and when. */
+/** Scenarios: the disturbances of a run and their times. */
 @NullMarked
 package org.carawaysill.load.scenario;
 
--- a/load/src/main/java/org/carawaysill/load/schedule/ArrivalSchedule.java
+++ b/load/src/main/java/org/carawaysill/load/schedule/ArrivalSchedule.java
@@ -6,8 +6,8 @@
 import org.carawaysill.load.site.LoadOperation;
 
 /**
- * Draws the arrivals of a run: a Poisson process for each operation, whose rates follow the phases. The same seed draws
- * the same arrivals, whatever the policy under test.
+ * Draws the arrivals of a run from a Poisson process for each operation, whose rate depends on the phase. The same seed
+ * gives the same arrivals under every policy.
  *
  * <p>Immutable and thread safe.
  *
@@ -21,7 +21,7 @@
     /**
      * Draws all arrivals.
      *
-     * @return the arrivals in the order of their times
+     * @return the arrivals, ordered by time
      */
     public List<Arrival> draw() {
         SplittableRandom random = new SplittableRandom(seed);
@@ -35,7 +35,8 @@
         return arrivals;
     }
 
-    // Thinning: candidates come at the peak rate, and each is kept with the share that its operation has at that time.
+    // Thinning: candidates arrive at the peak rate; an operation takes one with the probability of its rate over the
+    // peak.
     private void addIfDrawn(List<Arrival> arrivals, SplittableRandom random, long at, double peak) {
         double drawn = random.nextDouble() * peak;
         for (LoadOperation operation : rates.site().operations()) {
--- a/load/src/main/java/org/carawaysill/load/schedule/Rates.java
+++ b/load/src/main/java/org/carawaysill/load/schedule/Rates.java
@@ -8,9 +8,9 @@
 import org.carawaysill.load.site.Site;
 
 /**
- * How often each operation is asked for. The rate climbs during the first half of the warm-up, so that processes that have
- * compiled little yet don't start with an overload of their own. In a surge only the operations that surge grow, so that
- * the others keep fitting what the bottleneck serves.
+ * The request rate of each operation. The rates rise during the first half of the warm-up, so that processes whose code
+ * is not yet compiled are not overloaded at the start. A surge raises the rates of the surging operations only, so that
+ * the other operations alone still fit the bottleneck's capacity.
  *
  * <p>Immutable and thread safe.
  */
@@ -26,10 +26,10 @@
     private final Map<LoadOperation, Double> triggered = new HashMap<>();
 
     /**
-     * Works the rates out.
+     * Computes the rates.
      *
      * @param site the site
-     * @param scenario what the run plays
+     * @param scenario the scenario of the run
      * @param timeline the phases
      */
     public Rates(Site site, Scenario scenario, Timeline timeline) {
@@ -44,8 +44,8 @@
         }
     }
 
-    // What the operations that surge must grow by, so that the whole traffic is a multiple of what the bottleneck
-    // serves.
+    // Returns the factor on the surging operations by which the whole traffic becomes the given multiple of the
+    // bottleneck's capacity.
     private double surgingMultiple(double factor) {
         double surging = site.operations().stream()
                 .filter(LoadOperation::surges)
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Gives the site.
+     * Returns the site.
      *
      * @return the site
      */
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Gives the phases.
+     * Returns the phases.
      *
      * @return the phases
      */
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Gives the normal rate of the whole traffic.
+     * Returns the normal rate of the whole traffic.
      *
      * @return requests a second
      */
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Gives the rate of one operation.
+     * Returns the rate of one operation.
      *
      * @param operation the operation
      * @param atNanos nanoseconds from the run's start
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Gives the highest rate of the whole traffic.
+     * Returns the peak rate of the whole traffic.
      *
      * @return requests a second
      */
--- a/load/src/main/java/org/carawaysill/load/schedule/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/schedule/package-info.java
@@ -1,4 +1,4 @@
-/** When requests are sent, worked out before the run. */
+/** The schedule of requests, computed before the run. */
 @NullMarked
 package org.carawaysill.load.schedule;
 
--- a/load/src/main/java/org/carawaysill/load/site/Bottleneck.java
+++ b/load/src/main/java/org/carawaysill/load/site/Bottleneck.java
@@ -3,11 +3,11 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Where a site's goodput is bounded.
+ * The service that bounds a site's goodput.
  *
  * <p>Immutable and thread safe.
  *
  * @param service the service whose slots run out first
- * @param slowedService the deep service that the triggers slow
+ * @param slowedService the deep service that triggers slow down
  */
 public record Bottleneck(ServiceName service, ServiceName slowedService) {}
--- a/load/src/main/java/org/carawaysill/load/site/CallGraph.java
+++ b/load/src/main/java/org/carawaysill/load/site/CallGraph.java
@@ -7,9 +7,9 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * How the services of a site call one another.
+ * The calls between the services of a site.
  *
- * <p>Invariant: every call finds its operation. Immutable and thread safe.
+ * <p>Invariant: the operation of every call exists. Immutable and thread safe.
  */
 public final class CallGraph {
 
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Counts how often one request runs each hop when nothing is retried.
+     * Counts how often a request runs at each hop without retries.
      *
      * @param load the request
-     * @return the runs of each hop that it reaches
+     * @return the number of runs at each hop that it reaches
      */
     public Map<Hop, Integer> runs(LoadOperation load) {
         Map<Hop, Integer> runs = new HashMap<>();
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Tells whether a hop may run more than once.
+     * Returns whether a hop may run more than once.
      *
      * @param hop the hop
-     * @return whether its graph says that it is idempotent
+     * @return whether its graph declares it idempotent
      */
     public boolean idempotent(Hop hop) {
         return graph(hop.service()).operations().stream()
@@ -46,12 +46,12 @@
     }
 
     /**
-     * Gives the time for which one request holds slots of a service, its deeper calls included.
+     * Returns the time for which a request holds slots of a service, including its deeper calls.
      *
      * @param load the request
      * @param holder the service whose slots are held
-     * @param slowed the service that works slowly
-     * @param slowdown how many times longer its work takes
+     * @param slowed the service that is slowed down
+     * @param slowdown the factor on its service time
      * @return milliseconds, over all its runs there
      */
     public double holdMilliseconds(LoadOperation load, ServiceName holder, ServiceName slowed, double slowdown) {
@@ -102,7 +102,7 @@
         return new Call(load.service(), load.method(), load.path());
     }
 
-    /** Which service works slowly. Immutable and thread safe. */
+    /** The service that is slowed down and its factor. Immutable and thread safe. */
     private record Slowness(ServiceName service, double factor) {
 
         double factorOf(ServiceName other) {
--- a/load/src/main/java/org/carawaysill/load/site/GraphOperation.java
+++ b/load/src/main/java/org/carawaysill/load/site/GraphOperation.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a copy does for one operation.
+ * An operation of a service: its own work and its calls.
  *
  * <p>Immutable and thread safe.
  *
@@ -14,7 +14,7 @@
  * @param method the HTTP method
  * @param path the HTTP path
  * @param idempotent whether it may run more than once
- * @param serviceMilliseconds the mean time of the copy's own work
+ * @param serviceMilliseconds the mean service time of the copy's own work
  * @param calls the calls that it makes, one after the other
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
@@ -34,6 +34,6 @@
         return new GraphOperation(name, method, path, idempotent, milliseconds, calls);
     }
 
-    /** One call of a deeper service. Immutable and thread safe. */
+    /** A call to a deeper service. Immutable and thread safe. */
     record Call(ServiceName service, String method, String path) {}
 }
--- a/load/src/main/java/org/carawaysill/load/site/Hop.java
+++ b/load/src/main/java/org/carawaysill/load/site/Hop.java
@@ -3,7 +3,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * One operation of one service in a chain.
+ * An operation of a service in a call chain.
  *
  * <p>Immutable and thread safe.
  *
--- a/load/src/main/java/org/carawaysill/load/site/LoadOperation.java
+++ b/load/src/main/java/org/carawaysill/load/site/LoadOperation.java
@@ -5,18 +5,18 @@
 import org.carawaysill.model.request.Importance;
 
 /**
- * One kind of request that callers send to a site.
+ * A kind of request that callers send to a site.
  *
  * <p>Immutable and thread safe.
  *
  * @param name its name in reports
  * @param service the entry service
  * @param method the HTTP method
- * @param path the HTTP path; {@code *} stands for an identifier
- * @param caller who sends it
- * @param importance what the published selectors grant it
- * @param retryCredits the retries that the published selectors grant it over the whole chain
- * @param surges whether a surge multiplies it
+ * @param path the HTTP path, in which {@code *} is replaced by an identifier
+ * @param caller the caller that sends it
+ * @param importance the importance that the published selectors assign to it
+ * @param retryCredits the retries that the published selectors allow it over the whole chain
+ * @param surges whether a surge raises its rate
  * @param share its share of the normal rate, from 0 to 1
  */
 public record LoadOperation(
@@ -36,17 +36,17 @@
     }
 
     /**
-     * Fills the path.
+     * Returns the path of one request.
      *
-     * @param identifier the identifier that takes the place of {@code *}
-     * @return the path of one request
+     * @param identifier the identifier that replaces {@code *}
+     * @return the path
      */
     public String pathFor(String identifier) {
         return path.replace("*", identifier);
     }
 
     /**
-     * Tells whether operators want this refused only after less important traffic.
+     * Returns whether the operation is refused only after less important traffic.
      *
      * @return true for important and critical operations
      */
--- a/load/src/main/java/org/carawaysill/load/site/ServiceGraph.java
+++ b/load/src/main/java/org/carawaysill/load/site/ServiceGraph.java
@@ -4,7 +4,7 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * What the copies of one service do.
+ * The operations of a service.
  *
  * <p>Immutable and thread safe.
  *
--- a/load/src/main/java/org/carawaysill/load/site/Site.java
+++ b/load/src/main/java/org/carawaysill/load/site/Site.java
@@ -7,17 +7,17 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * A site as a bench runs it: all processes on loopback, and the traffic of its callers.
+ * A site as a bench runs it: its processes, all on loopback, and the traffic of its callers.
  *
- * <p>Invariant: the bottleneck and every entry service are among the services; at least one operation reaches the
+ * <p>Invariant: the services contain the bottleneck and every entry service; at least one operation reaches the
  * bottleneck. Immutable and thread safe.
  *
  * @param name the site's name
  * @param zones its availability zones
  * @param services its services, in the order of their ports
- * @param bottleneck where its goodput is bounded
- * @param operations the callers' traffic
- * @param graph how the services call one another
+ * @param bottleneck the service that bounds its goodput
+ * @param operations the traffic of its callers
+ * @param graph the calls between the services
  */
 public record Site(
         String name,
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Lists the copies.
+     * Returns all copies.
      *
-     * @return every copy, in the order of ports; a service's copies take the zones in turn
+     * @return the copies in the order of their ports; the copies of a service are assigned to the zones in turn
      */
     public List<SiteCopy> copies() {
         List<SiteCopy> copies = new ArrayList<>();
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Lists the copies of one service.
+     * Returns the copies of one service.
      *
      * @param service the service
      * @return its copies
@@ -88,7 +88,7 @@
     /**
      * Counts the bottleneck's slots.
      *
-     * @return the slots of all its copies together
+     * @return the total of the slots of its copies
      */
     public int bottleneckSlots() {
         return copiesOf(bottleneck.service()).stream()
@@ -97,10 +97,10 @@
     }
 
     /**
-     * Gives the time for which one request holds slots of the bottleneck.
+     * Returns the time for which a request holds slots of the bottleneck.
      *
      * @param operation the request
-     * @param slowdown how many times longer the slowed service's work takes
+     * @param slowdown the factor on the service time of the slowed service
      * @return milliseconds; 0 if it never holds one
      */
     public double holdMilliseconds(LoadOperation operation, double slowdown) {
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Gives the rate of the whole traffic at which the bottleneck's slots are all in use.
+     * Returns the rate of the whole traffic at which all slots of the bottleneck are in use.
      *
      * @return requests a second, in the normal mix
      */
--- a/load/src/main/java/org/carawaysill/load/site/SiteCopy.java
+++ b/load/src/main/java/org/carawaysill/load/site/SiteCopy.java
@@ -4,11 +4,11 @@
 import org.carawaysill.model.identity.NodeName;
 
 /**
- * One upstream copy of a site with its node, on loopback ports that follow from its index.
+ * An upstream copy of a site with its node, on loopback ports that are derived from its index.
  *
  * <p>Immutable and thread safe.
  *
- * @param index the position among all copies of the site, from 0
+ * @param index the index among all copies of the site, from 0
  * @param name the node's name
  * @param zone the availability zone
  * @param service the service that it belongs to
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Gives a port number.
+     * Returns a port number.
      *
      * @param port which port
      * @return the number
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Gives an address.
+     * Returns an address.
      *
      * @param port which port
-     * @return host and port, with a colon between
+     * @return host and port, separated by a colon
      */
     public String address(Port port) {
         return Site.HOST + ":" + number(port);
--- a/load/src/main/java/org/carawaysill/load/site/SiteException.java
+++ b/load/src/main/java/org/carawaysill/load/site/SiteException.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 
-/** A site's file can't be read or has a fault; the message names file, line and key. Immutable and thread safe. */
+/** Signals an unreadable or faulty file of a site; the message names file, line and key. Immutable and thread safe. */
 public final class SiteException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/load/src/main/java/org/carawaysill/load/site/SiteReader.java
+++ b/load/src/main/java/org/carawaysill/load/site/SiteReader.java
@@ -24,7 +24,8 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * Reads a site's {@code site.toml}. Unknown and missing keys are faults.
+ * Reads a site's {@code site.toml} and the graphs of its services. Unknown and missing keys in {@code site.toml} are
+ * faults.
  *
  * <p>Stateless and thread safe.
  */
@@ -47,7 +48,7 @@
     /**
      * Reads a site.
      *
-     * @param sites the directory that holds a directory for each site
+     * @param sites the directory that contains a directory for each site
      * @param name the site's name
      * @return the site
      * @throws SiteException if a file can't be read or has a fault
@@ -115,7 +116,7 @@
         return module;
     }
 
-    /** Reads an identity from its text. Immutable and thread safe. */
+    /** Deserializes an identity from its text. Immutable and thread safe. */
     private static final class Named<T> extends FromStringDeserializer<T> {
 
         private static final long serialVersionUID = 1L;
--- a/load/src/main/java/org/carawaysill/load/site/SiteService.java
+++ b/load/src/main/java/org/carawaysill/load/site/SiteService.java
@@ -3,15 +3,15 @@
 import org.carawaysill.model.identity.ServiceName;
 
 /**
- * One service of a site.
+ * A service of a site.
  *
- * <p>Invariant: every number is positive, but for the time of work, which may be 0. Immutable and thread safe.
+ * <p>Invariant: every number is positive, except for the service time, which may be 0. Immutable and thread safe.
  *
  * @param name the service
  * @param copies how many copies it has
- * @param slots requests that one copy works on at a time
- * @param connections requests that one copy holds at a time, those that wait included
- * @param serviceMilliseconds the mean time of one copy's own work on a request, in milliseconds, in place of its graph's
+ * @param slots the number of requests that one copy runs at a time
+ * @param connections the number of requests that run or wait in one copy at a time
+ * @param serviceMilliseconds the mean service time of a copy's own work on a request, which replaces that of its graph
  */
 public record SiteService(ServiceName name, int copies, int slots, int connections, double serviceMilliseconds) {
 
--- a/load/src/main/java/org/carawaysill/load/site/package-info.java
+++ b/load/src/main/java/org/carawaysill/load/site/package-info.java
@@ -1,4 +1,4 @@
-/** What a bench needs to know of a site: its services, copies, ports and traffic. */
+/** The description of a site for a bench: its services, copies, ports and traffic. */
 @NullMarked
 package org.carawaysill.load.site;
 
--- a/load/src/test/java/org/carawaysill/load/audit/AuditTest.java
+++ b/load/src/test/java/org/carawaysill/load/audit/AuditTest.java
@@ -42,8 +42,9 @@
 
     @Test
     void findsARefusedRequestThatRan() {
-        // A caller is refused twice with "not run" and books the cargo by phone. A copy deep in the chain has run the
-        // request all the same: a node took the deeper refusal that the copy relayed for its own.
+        // Guards against an unnoticed run of a request whose caller got "not run" twice. A copy deep in the chain has
+        // run
+        // it: a node took the deeper refusal that the copy relayed for a refusal of the copy itself.
         runLog.add("trace", LOOKUP, 1);
         assertEquals(Map.of(Violation.NOT_RUN_RAN, 1), violations("lookup", REFUSED, REFUSED));
     }
@@ -56,8 +57,9 @@
 
     @Test
     void findsAnOrderThatTwoCopiesRan() {
-        // A client's first try times out after one copy began it; the second try reaches another copy, which runs it
-        // again. No copy sees more than one run: only their logs together show the double.
+        // Guards against a duplicate run at two copies that goes unnoticed. A client's first try times out after one
+        // copy
+        // has started it, and another copy runs the second try; only the logs of both copies together show two runs.
         runLog.add("trace", ORDER, 1);
         runLog.add("trace", ORDER, 1);
         assertEquals(Map.of(Violation.RAN_TWICE, 1), violations("order", new TimedOut(), new Whole()));
--- a/load/src/test/java/org/carawaysill/load/client/ImpatientClientTest.java
+++ b/load/src/test/java/org/carawaysill/load/client/ImpatientClientTest.java
@@ -104,9 +104,8 @@
 
     @Test
     void givesUpAnAnswerThatDoesNotComeAndClosesItsConnection() throws Exception {
-        // A clerk gives up on a lookup and asks for the next one. Were the connection kept, the late answer to the
-        // first
-        // would be read as the answer to the second.
+        // Guards against a late answer that is taken for the answer to another request: after a timeout the client must
+        // close the connection, on which it would otherwise read the late answer as that to its next request.
         Promise<Void> closed = Promise.promise();
         int silent = node(request -> request.connection().closeHandler(ignored -> closed.tryComplete()));
         RequestRecord request = send(1, SHORT, silent);
--- a/load/src/test/java/org/carawaysill/load/latency/LatencyTest.java
+++ b/load/src/test/java/org/carawaysill/load/latency/LatencyTest.java
@@ -55,16 +55,17 @@
                                 0,
                                 1,
                                 1));
-                assertEquals(report.failures() + report.directMilliseconds().count(), shots());
+                assertEquals(report.failures() + report.directMilliseconds().count(), scheduledRequests());
                 assertEquals(0, report.throughMilliseconds().count());
             } finally {
                 vertx.close().toCompletionStage().toCompletableFuture().get(LIMIT_SECONDS, TimeUnit.SECONDS);
             }
         }
 
-        private long shots() {
+        private long scheduledRequests() {
             LatencyPath any = new LatencyPath("127.0.0.1", 1, "/");
-            return Shot.draw(new LatencySettings(any, any, 100, 0, 1, 1)).size();
+            return ScheduledRequest.draw(new LatencySettings(any, any, 100, 0, 1, 1))
+                    .size();
         }
 
         private LatencyReport measure(Vertx vertx, LatencySettings settings) throws Exception {
--- a/load/src/test/java/org/carawaysill/load/launcher/LauncherTest.java
+++ b/load/src/test/java/org/carawaysill/load/launcher/LauncherTest.java
@@ -19,7 +19,7 @@
     private static final Path HOME = Path.of("..").toAbsolutePath().normalize();
     private static final long LIMIT_SECONDS = 60;
 
-    /** Exit status of a launcher that ends at the signal for a polite end. */
+    /** Exit status of a launcher that ends on SIGTERM. */
     private static final int TERMINATED = 143;
 
     private static Process start(String... words) throws IOException {
@@ -61,8 +61,8 @@
                 %s
                 """;
 
-        /** Names the second process once it is deaf to a polite end. */
-        private static final String DEAF_PROCESS = """
+        /** Returns the second process once it ignores SIGTERM. */
+        private static final String PROCESS_IGNORING_SIGTERM = """
                 set -euo pipefail
                 . launcher/processes.sh
                 leave_nothing_behind
@@ -73,7 +73,7 @@
                 wait
                 """;
 
-        /** Gets a second signal before the given command that follows the first one. */
+        /** Sends a second signal before the given command that follows the first signal. */
         private static final String INTERRUPTED_TWICE = """
                 set -euo pipefail
                 . launcher/processes.sh
@@ -87,7 +87,7 @@
                 wait
                 """;
 
-        /** Gets a signal after a process was started and before the launcher has noted it down. */
+        /** Sends a signal after a process was started and before the launcher has recorded it. */
         private static final String INTERRUPTED_WHILE_IT_STARTS = """
                 set -euo pipefail
                 . launcher/processes.sh
@@ -117,34 +117,35 @@
 
         @Test
         void endWithALauncherThatIsInterrupted() throws Exception {
-            // Someone stops the demo half-way. Thirty processes stay behind, hold the ports, and the next demo fails:
-            // the
-            // launcher died without ending what it had started, one of them deaf to a polite end.
+            // Guards against processes that outlive an interrupted launcher and keep their ports, so that the next demo
+            // fails. The launcher must end all processes that it has started, including one that ignores SIGTERM.
             leaveNothingBehind("wait", true);
         }
 
         @Test
         void endWithALauncherThatNobodyReadsAnyMore() throws Exception {
-            // Someone pipes the demo into a pager, leaves the pager and stops the demo. The processes that don't end
-            // by themselves stay behind and hold the ports. The shell itself reports "Terminated" for the process that
-            // ended politely; nobody reads that, so it was ended by SIGPIPE (141) before it killed the deaf one.
-            Process launcher = start("bash", "-c", DEAF_PROCESS);
+            // Guards against processes that outlive a launcher whose output nobody reads, such as one piped into a
+            // pager
+            // that has exited. The shell writes "Terminated" for a process that ended on SIGTERM; without a reader that
+            // write ended the launcher with SIGPIPE (141) before it killed the process that ignores SIGTERM.
+            Process launcher = start("bash", "-c", PROCESS_IGNORING_SIGTERM);
             try (BufferedReader lines = launcher.inputReader()) {
-                ProcessHandle deaf =
+                ProcessHandle ignoringSigterm =
                         ProcessHandle.of(Long.parseLong(lines.readLine())).orElseThrow();
                 launcher.getInputStream().close();
                 launcher.destroy();
                 assertEquals(TERMINATED, exitCode(launcher));
-                deaf.onExit().get(LIMIT_SECONDS, TimeUnit.SECONDS);
+                ignoringSigterm.onExit().get(LIMIT_SECONDS, TimeUnit.SECONDS);
             }
         }
 
         @ParameterizedTest
         @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 15, 20})
         void endWithALauncherThatIsInterruptedTwice(int command) throws Exception {
-            // Someone closes the terminal, and the session's end sends a second signal. All processes stay behind. The
-            // second signal came after the launcher had begun to end and before its clean-up ignored signals: it ended
-            // in the midst of it, with nothing done.
+            // Guards against processes that outlive a launcher which gets two signals, as when a terminal is closed.
+            // The
+            // second signal arrived after the launcher had started to end and before its clean-up ignored signals, and
+            // ended the launcher before it had ended any process.
             endWithTheLauncher(INTERRUPTED_TWICE.formatted(command));
         }
 
@@ -153,14 +154,15 @@
                 strings = {"start_process /dev/null sleep 600", "java_words() { words=(sleep); }; run_program load 600"
                 })
         void endWithALauncherThatIsInterruptedWhileItStarts(String start) throws Exception {
-            // Someone stops the demo while it starts its thirty processes. One of them stays behind: the signal came
-            // after that process was started and before its number was noted down, so the clean-up didn't know it.
+            // Guards against a process that outlives a launcher which is interrupted while it starts processes. The
+            // signal
+            // arrived after the process was started and before its id was recorded, so that the clean-up missed it.
             endWithTheLauncher(INTERRUPTED_WHILE_IT_STARTS.formatted(start));
         }
 
         private static void endWithTheLauncher(String script) throws Exception {
-            // A shell can't trap a signal that was ignored when it started, as this one is where the build runs
-            // detached.
+            // A shell can't trap a signal that was ignored when the shell started. SIGHUP is ignored if the build runs
+            // detached, so its default action is restored.
             Process launcher = start("env", "--default-signal=HUP", "bash", "-c", script);
             try (BufferedReader lines = launcher.inputReader()) {
                 Optional<ProcessHandle> process = ProcessHandle.of(Long.parseLong(lines.readLine()));
--- a/load/src/test/java/org/carawaysill/load/report/ComparisonTest.java
+++ b/load/src/test/java/org/carawaysill/load/report/ComparisonTest.java
@@ -40,7 +40,7 @@
     @TempDir
     private Path directory;
 
-    /** A run in which each request that comes while something is wrong fares as the given tries say. */
+    /** Returns a run in which each request that arrives during a trigger has the given results of its tries. */
     private RunReport report(String policy, List<TryResult> tries) {
         RunSettings settings = new RunSettings(
                 policy, SmallSite.read(), Scenario.BOTH, 1, 10, ClientSettings.impatient(), Duration.ZERO);
--- a/load/src/test/java/org/carawaysill/load/report/RecoveryTest.java
+++ b/load/src/test/java/org/carawaysill/load/report/RecoveryTest.java
@@ -21,7 +21,7 @@
 
     private final Timeline timeline = Timeline.of(Scenario.BOTH, 10);
 
-    /** Ten requests in each bucket, answered in the same bucket where the predicate says so. */
+    /** Returns ten requests for each bucket, answered in the same bucket if the predicate holds for it. */
     private Recovery recovery(IntPredicate answered, IntPredicate sent) {
         List<RequestRecord> records = new ArrayList<>();
         IntStream.range(0, 100)
--- a/load/src/test/java/org/carawaysill/load/site/SmallSite.java
+++ b/load/src/test/java/org/carawaysill/load/site/SmallSite.java
@@ -10,7 +10,7 @@
     private SmallSite() {}
 
     /**
-     * Where the sites of the tests are.
+     * Returns the directory of the test sites.
      *
      * @return the directory
      */
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Gives an operation.
+     * Returns an operation of the site.
      *
      * @param name its name
      * @return the operation
