--- a/kernel/src/main/java/org/carawaysill/kernel/ring/BoundedRing.java
+++ b/kernel/src/main/java/org/carawaysill/kernel/ring/BoundedRing.java
@@ -37,7 +37,7 @@
      * @param item the item
      * @return whether the ring accepted it
      */
-    public Offer offer(T item) {
+    public OfferResult offer(T item) {
         return counted(queue.offer(item));
     }
 
@@ -49,21 +49,21 @@
      * @param limit how many items the ring may hold at most after this offer
      * @return whether the ring accepted it
      */
-    public Offer offerBelow(T item, int limit) {
+    public OfferResult offerBelow(T item, int limit) {
         return counted(queue.offerIfBelowThreshold(item, limit));
     }
 
-    private Offer counted(boolean accepted) {
+    private OfferResult counted(boolean accepted) {
         if (!accepted) {
             refused.increment();
-            return Offer.FULL;
+            return OfferResult.FULL;
         }
         // Guards against a lost wake-up, which would leave an item in the ring until the next offer. The fence orders
         // the write of the item before the read of the parked consumer; await() orders its write of the parked consumer
         // before its last check of the ring. So either this thread sees the consumer, or the consumer sees the item.
         VarHandle.fullFence();
         parkedConsumer.ifPresent(LockSupport::unpark);
-        return Offer.ACCEPTED;
+        return OfferResult.ACCEPTED;
     }
 
     /**
--- a/kernel/src/test/java/org/carawaysill/kernel/duty/DutyTest.java
+++ b/kernel/src/test/java/org/carawaysill/kernel/duty/DutyTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
 import org.carawaysill.kernel.ring.BoundedRing;
-import org.carawaysill.kernel.ring.Offer;
+import org.carawaysill.kernel.ring.OfferResult;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -57,7 +57,7 @@
     private final Duty<Integer> duty = new Duty<>("test-duty", ring, work);
 
     private void offerUntilAccepted(int item) {
-        while (ring.offer(item) == Offer.FULL) {
+        while (ring.offer(item) == OfferResult.FULL) {
             Thread.onSpinWait();
         }
     }
--- a/kernel/src/test/java/org/carawaysill/kernel/ring/BoundedRingTest.java
+++ b/kernel/src/test/java/org/carawaysill/kernel/ring/BoundedRingTest.java
@@ -23,7 +23,7 @@
         for (int i = 0; i < offers.size(); i++) {
             if (!offers.get(i)) {
                 assertEquals(Optional.ofNullable(model.poll()), ring.poll());
-            } else if (ring.offer(i) == Offer.ACCEPTED) {
+            } else if (ring.offer(i) == OfferResult.ACCEPTED) {
                 model.add(i);
             } else {
                 refused++;
@@ -38,10 +38,10 @@
     void reservesCapacityForOffersWithoutALimit() {
         BoundedRing<String> ring = new BoundedRing<>(CAPACITY);
         for (int i = 0; i < CAPACITY / 2; i++) {
-            assertEquals(Offer.ACCEPTED, ring.offerBelow("work", CAPACITY / 2));
+            assertEquals(OfferResult.ACCEPTED, ring.offerBelow("work", CAPACITY / 2));
         }
-        assertEquals(Offer.FULL, ring.offerBelow("work", CAPACITY / 2));
-        assertEquals(Offer.ACCEPTED, ring.offer("completion"));
+        assertEquals(OfferResult.FULL, ring.offerBelow("work", CAPACITY / 2));
+        assertEquals(OfferResult.ACCEPTED, ring.offer("completion"));
         assertTrue(ring.size() <= ring.capacity());
     }
 }
--- a/model/src/main/java/org/carawaysill/model/configuration/TermsReader.java
+++ b/model/src/main/java/org/carawaysill/model/configuration/TermsReader.java
@@ -31,7 +31,7 @@
                 name,
                 match,
                 table.value(IMPORTANCE, new ChoiceFormat<>(Importance.class)).map(Located::value),
-                table.truth(IDEMPOTENT),
+                table.booleanValue(IDEMPOTENT),
                 table.wholeNumber(RETRY_CREDITS, 0, MAXIMUM_RETRY_CREDITS),
                 table.value(DEADLINE, DEADLINE_FORMAT).map(Located::value));
     }
--- a/model/src/main/java/org/carawaysill/model/document/TableReader.java
+++ b/model/src/main/java/org/carawaysill/model/document/TableReader.java
@@ -144,7 +144,7 @@
      * @param key the field's key
      * @return the value, if the field exists and is a boolean
      */
-    public Optional<Boolean> truth(String key) {
+    public Optional<Boolean> booleanValue(String key) {
         Optional<LocatedNode> field = field(key);
         Optional<Boolean> truth =
                 field.map(LocatedNode::node).filter(JsonNode::isBoolean).map(JsonNode::booleanValue);
--- a/model/src/main/java/org/carawaysill/model/fleet/EntryVersion.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/EntryVersion.java
@@ -9,16 +9,16 @@
  * entry, the one with the greater version was written later. Immutable and thread safe.
  *
  * @param start when the writer started, in milliseconds since 1970; 0 if irrelevant or not stated
- * @param write the writer's own count of writes since then; 0 if it keeps no count
+ * @param writeCount the writer's own count of writes since then; 0 if it keeps no count
  * @param stage the stage of the entry, which orders writes that are not counted
  */
-public record EntryVersion(long start, long write, Stage stage) implements Comparable<EntryVersion> {
+public record EntryVersion(long start, long writeCount, Stage stage) implements Comparable<EntryVersion> {
 
     /** Before every written version. */
     public static final EntryVersion NONE = new EntryVersion(0, 0, Stage.PRESENT);
 
     private static final Comparator<EntryVersion> ORDER = Comparator.comparingLong(EntryVersion::start)
-            .thenComparingLong(EntryVersion::write)
+            .thenComparingLong(EntryVersion::writeCount)
             .thenComparing(EntryVersion::stage);
 
     /** The stages of an entry; an entry returns to an earlier stage only by a new write. */
@@ -37,7 +37,7 @@
      * @return the same write with the stage removed
      */
     public EntryVersion removed() {
-        return new EntryVersion(start, write, Stage.REMOVED);
+        return new EntryVersion(start, writeCount, Stage.REMOVED);
     }
 
     @Override
--- a/model/src/main/java/org/carawaysill/model/fleet/KnownEntry.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/KnownEntry.java
@@ -34,7 +34,7 @@
      * @return the entry as if it had been written once more after that version
      */
     public KnownEntry restored(Revision at, EntryVersion known) {
-        return new KnownEntry(key, at, new EntryVersion(known.start(), known.write() + 1, version.stage()), text);
+        return new KnownEntry(key, at, new EntryVersion(known.start(), known.writeCount() + 1, version.stage()), text);
     }
 
     /**
--- a/model/src/main/java/org/carawaysill/model/fleet/Organisations.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Organisations.java
@@ -46,7 +46,7 @@
      * @param key the key's digest
      * @return the organisation, or empty if none holds it
      */
-    public Optional<Organisation> holderOf(KeyDigest key) {
+    public Optional<Organisation> findByKey(KeyDigest key) {
         return Optional.ofNullable(byKey.get(key));
     }
 }
--- a/model/src/main/java/org/carawaysill/model/fleet/Route.java
+++ b/model/src/main/java/org/carawaysill/model/fleet/Route.java
@@ -16,7 +16,7 @@
  * @param idempotent whether its requests may safely run twice
  * @param timeout the maximum time a client waits for an answer
  * @param maximumAttempts the maximum number of copies to which one request may be sent
- * @param aim the target latency, within which an answer is worth most to the caller
+ * @param targetLatency the target latency, within which an answer is worth most to the caller
  * @param rank the rank in the order of refusal; 0 is refused last
  * @param keyRequired whether requests need an organisation's key, where keys are checked
  */
@@ -28,7 +28,7 @@
         boolean idempotent,
         Duration timeout,
         int maximumAttempts,
-        Duration aim,
+        Duration targetLatency,
         int rank,
         boolean keyRequired) {
 
--- a/model/src/main/java/org/carawaysill/model/settings/NodeSettingsParser.java
+++ b/model/src/main/java/org/carawaysill/model/settings/NodeSettingsParser.java
@@ -103,7 +103,7 @@
     }
 
     private static boolean readBench(TableReader table) {
-        boolean faults = table.truth("faults").orElse(false);
+        boolean faults = table.booleanValue("faults").orElse(false);
         table.reportUnknownKeys();
         return faults;
     }
--- a/node/src/main/java/org/carawaysill/node/copy/AnswerReader.java
+++ b/node/src/main/java/org/carawaysill/node/copy/AnswerReader.java
@@ -27,7 +27,7 @@
 
     private static final String HEAD = "HEAD";
 
-    private final Effect.HandToCopy effect;
+    private final Effect.SendToCopy effect;
 
     private final int maximumBodyBytes;
 
@@ -35,7 +35,7 @@
 
     private final Buffer parts = Buffer.buffer();
 
-    AnswerReader(Effect.HandToCopy effect, int maximumBodyBytes) {
+    AnswerReader(Effect.SendToCopy effect, int maximumBodyBytes) {
         this.effect = effect;
         this.maximumBodyBytes = maximumBodyBytes;
     }
--- a/node/src/main/java/org/carawaysill/node/copy/CopyClient.java
+++ b/node/src/main/java/org/carawaysill/node/copy/CopyClient.java
@@ -102,7 +102,7 @@
      *
      * @param effect the attempt, the request and the deadline
      */
-    public void send(Effect.HandToCopy effect) {
+    public void send(Effect.SendToCopy effect) {
         settings.eventLoop().runOnContext(ignored -> start(effect));
     }
 
@@ -117,7 +117,7 @@
                         ignored -> Optional.ofNullable(running.get(attempt)).ifPresent(CopyExchange::cancel));
     }
 
-    private void start(Effect.HandToCopy effect) {
+    private void start(Effect.SendToCopy effect) {
         // With two exchanges under one identifier, each could get the other's answer.
         if (running.containsKey(effect.attempt())) {
             counters.count(Invariant.AT_MOST_ONCE);
--- a/node/src/main/java/org/carawaysill/node/copy/CopyExchange.java
+++ b/node/src/main/java/org/carawaysill/node/copy/CopyExchange.java
@@ -32,7 +32,7 @@
 
     private static final Duration UNREACHABLE_RETRY_AFTER = Duration.ofSeconds(1);
 
-    private final Effect.HandToCopy effect;
+    private final Effect.SendToCopy effect;
 
     private final CopyClientSettings settings;
 
@@ -45,7 +45,7 @@
     private boolean finished;
 
     CopyExchange(
-            Effect.HandToCopy effect,
+            Effect.SendToCopy effect,
             CopyClientSettings settings,
             Counters counters,
             BiConsumer<AttemptIdentifier, Outcome> whenFinished) {
--- a/node/src/main/java/org/carawaysill/node/entry/EntryConnection.java
+++ b/node/src/main/java/org/carawaysill/node/entry/EntryConnection.java
@@ -198,7 +198,7 @@
                 identifier,
                 read.requestName(),
                 read.host(),
-                read.patience(),
+                read.clientTimeout(),
                 read.credential(),
                 read.content(Body.wrap(whole))));
     }
--- a/node/src/main/java/org/carawaysill/node/entry/RequestHead.java
+++ b/node/src/main/java/org/carawaysill/node/entry/RequestHead.java
@@ -28,7 +28,7 @@
  * @param target the path and query, or an absolute URI
  * @param host the value of the Host field
  * @param requestName the client's own name for the request; empty if it gave none
- * @param patience how long the client waits for the answer, if stated
+ * @param clientTimeout how long the client waits for the answer, if stated
  * @param statedLength the value of Content-Length, or 0 if there is none
  * @param keepsAlive whether the client may send further requests on the connection
  * @param framing whether the end of the body is unambiguous for all readers
@@ -40,7 +40,7 @@
         String target,
         String host,
         String requestName,
-        Optional<Duration> patience,
+        Optional<Duration> clientTimeout,
         int statedLength,
         boolean keepsAlive,
         boolean framing,
@@ -52,7 +52,8 @@
     /** Larger than any body that a node accepts. */
     private static final int MAXIMUM_STATED_LENGTH = Integer.MAX_VALUE;
 
-    private static final long MAXIMUM_PATIENCE_MILLIS = Duration.ofHours(1).toMillis();
+    private static final long MAXIMUM_CLIENT_TIMEOUT_MILLIS =
+            Duration.ofHours(1).toMillis();
 
     static RequestHead of(HttpRequest request, WireDialect dialect) {
         String host = request.headers().get(HttpHeaderNames.HOST, "");
@@ -61,7 +62,7 @@
                 request.uri(),
                 host,
                 request.headers().get(dialect.requestName(), ""),
-                patience(request.headers().get(dialect.patience())),
+                clientTimeout(request.headers().get(dialect.clientTimeout())),
                 (int) Math.min(MAXIMUM_STATED_LENGTH, Math.max(0, HttpUtil.getContentLength(request, 0L))),
                 HttpUtil.isKeepAlive(request),
                 isFramedUnambiguously(request),
@@ -69,7 +70,7 @@
                 forwardedHeaders(request, host, dialect));
     }
 
-    private static Optional<Duration> patience(@Nullable String text) {
+    private static Optional<Duration> clientTimeout(@Nullable String text) {
         if (text == null) {
             return Optional.empty();
         }
@@ -78,7 +79,7 @@
             if (!(millis >= 0)) {
                 return Optional.empty();
             }
-            return Optional.of(Duration.ofNanos((long) (Math.min(millis, MAXIMUM_PATIENCE_MILLIS) * 1_000_000)));
+            return Optional.of(Duration.ofNanos((long) (Math.min(millis, MAXIMUM_CLIENT_TIMEOUT_MILLIS) * 1_000_000)));
         } catch (NumberFormatException unreadable) {
             return Optional.empty();
         }
@@ -119,7 +120,7 @@
      */
     private static boolean isWithheld(String name, WireDialect dialect) {
         return name.equalsIgnoreCase(dialect.requestName())
-                || name.equalsIgnoreCase(dialect.patience())
+                || name.equalsIgnoreCase(dialect.clientTimeout())
                 || name.equalsIgnoreCase(dialect.copy())
                 || name.equalsIgnoreCase(dialect.callerService())
                 || name.equalsIgnoreCase(HttpHeaderNames.AUTHORIZATION.toString())
--- a/node/src/main/java/org/carawaysill/node/entry/WireDialect.java
+++ b/node/src/main/java/org/carawaysill/node/entry/WireDialect.java
@@ -6,7 +6,7 @@
  * <p>Immutable and thread safe.
  *
  * @param requestName the client's own name for a request, echoed in its answer
- * @param patience how many milliseconds the client waits, or the copy may take
+ * @param clientTimeout how many milliseconds the client waits, or the copy may take
  * @param copy the only copy that may run a request
  * @param seal the seal that the copy adds to each of its answers
  * @param notRun the copy's statement that it did not run a request
@@ -17,7 +17,7 @@
  */
 public record WireDialect(
         String requestName,
-        String patience,
+        String clientTimeout,
         String copy,
         String seal,
         String notRun,
--- a/node/src/main/java/org/carawaysill/node/exchange/ExchangeServer.java
+++ b/node/src/main/java/org/carawaysill/node/exchange/ExchangeServer.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.carawaysill.kernel.ring.Offer;
+import org.carawaysill.kernel.ring.OfferResult;
 import org.carawaysill.kernel.service.Service;
 import org.carawaysill.kernel.service.ServiceRegistry;
 import org.carawaysill.model.error.CarawaysillException;
@@ -195,7 +195,7 @@
     }
 
     private void offer(ExchangeIdentifier identifier, Event event) {
-        if (inbox.offerWork(event) == Offer.FULL) {
+        if (inbox.offerWork(event) == OfferResult.FULL) {
             counters.count(RefusalReason.RING_FULL);
             table.answer(identifier, outcomeOfUnqueued(event));
         }
--- a/node/src/main/java/org/carawaysill/node/fleet/DecisionLog.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/DecisionLog.java
@@ -134,7 +134,7 @@
             case Decision.CopyChanged changed
             when !changed.state().equals(Decision.CopyChanged.READY) -> Kind.COPY_LEAVES;
             case Decision.CopyCrashed _, Decision.SuspicionChanged _, Decision.SuspicionsForgotten _ -> Kind.CRASH;
-            case Decision.OfBelief _ -> Kind.BELIEF;
+            case Decision.OfState _ -> Kind.BELIEF;
         };
     }
 
--- a/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
@@ -39,7 +39,7 @@
     private final EventLoopGroup group = eventLoops();
     private final EventLoop eventLoop = group.next();
     private final ServiceRegistry registry = new ServiceRegistry();
-    private final CompletableFuture<Void> mayEnd = new CompletableFuture<>();
+    private final CompletableFuture<Void> stopCompletion = new CompletableFuture<>();
     private final FleetLoop loop;
     private final EntryServer entry;
     private final CopyConnections copy;
@@ -49,7 +49,7 @@
     private final Counters counters;
     private final RequestLatencies latencies;
     private final SuspectGauges suspects;
-    private final PublishedSource source;
+    private final PublishedEntrySource source;
 
     /**
      * Creates a node that doesn't serve yet.
@@ -63,7 +63,7 @@
             FleetNodeSettings settings,
             String readyPath,
             PublicationDecoder decoder,
-            Function<EventLoop, PublishedSource> source) {
+            Function<EventLoop, PublishedEntrySource> source) {
         Moment start = NodeClock.SYSTEM.now();
         counters = registry.register(new Counters(new PrometheusRegistry()));
         latencies = new RequestLatencies(counters.registry());
@@ -84,7 +84,7 @@
     }
 
     private static EventLoopGroup eventLoops() {
-        EventLoopFactory.limitLibraries();
+        EventLoopFactory.setLibraryLimits();
         IoHandlerFactory paced = NioIoHandler.newFactory(SelectorProvider.provider(), PacedSelectStrategy::new);
         return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("node"), paced);
     }
@@ -123,9 +123,9 @@
         loop.submit(new FleetEvent.SettingsChanged(settings.policy()));
     }
 
-    /** Begins a planned stop: the node finishes its requests, and then {@link #mayEnd} completes. */
+    /** Begins a planned stop: the node finishes its requests, and then {@link #stopCompletion} completes. */
     public void orderStop() {
-        loop.submit(new FleetEvent.StopOrdered());
+        loop.submit(new FleetEvent.StopRequested());
     }
 
     /**
@@ -133,8 +133,8 @@
      *
      * @return completes when the process may exit
      */
-    public CompletableFuture<Void> mayEnd() {
-        return mayEnd;
+    public CompletableFuture<Void> stopCompletion() {
+        return stopCompletion;
     }
 
     /**
@@ -158,16 +158,16 @@
 
     private void dispatch(FleetEffect effect) {
         switch (effect) {
-            case FleetEffect.HandToCopy hand -> copy.send(hand);
+            case FleetEffect.SendToCopy hand -> copy.send(hand);
             case FleetEffect.CancelAtCopy cancel -> copy.cancel(cancel.attempt());
-            case FleetEffect.CloseIdleAtCopy _ -> copy.closeIdle();
+            case FleetEffect.CloseIdleCopyConnections _ -> copy.closeIdle();
             case FleetEffect.AnswerExchange answer -> entry.answer(answer.exchange(), answer.outcome());
             case FleetEffect.SendToPeer send -> peers.send(send.peer(), send.message());
             case FleetEffect.ConnectPeer connect -> peers.connect(connect.peer());
             case FleetEffect.DisconnectPeer disconnect -> peers.disconnect(disconnect.peer());
             case FleetEffect.ResetPeer reset -> peers.reset(reset.peer());
             case FleetEffect.ReadEntries read -> source.read(read).thenAccept(loop::submit);
-            case FleetEffect.LimitClients limit -> entry.limitClients(limit.limits());
+            case FleetEffect.ApplyClientLimits limit -> entry.limitClients(limit.limits());
             case FleetEffect.ShowReadiness readiness -> showReadiness(readiness.ready());
             case FleetEffect.Count count -> counters.count(count.counted());
             case FleetEffect.Log decided -> {
@@ -175,7 +175,7 @@
                 log.write(decided.decision());
             }
             case FleetEffect.ShowSuspects show -> suspects.show(show);
-            case FleetEffect.StopProcess _ -> mayEnd.complete(null);
+            case FleetEffect.StopProcess _ -> stopCompletion.complete(null);
         }
     }
 
--- a/node/src/main/java/org/carawaysill/node/fleet/PublishedSource.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/PublishedEntrySource.java
@@ -6,7 +6,7 @@
 
 /** Reads entries that the platform publishes. Implementations are thread safe and never block. */
 @FunctionalInterface
-public interface PublishedSource {
+public interface PublishedEntrySource {
 
     /**
      * Reads published entries.
--- a/node/src/main/java/org/carawaysill/node/fleet/RequestLatencies.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/RequestLatencies.java
@@ -52,7 +52,7 @@
                     Decision.Retried _,
                     Decision.FailedAtCopy _,
                     Decision.SuspectHandled _,
-                    Decision.OfBelief _ -> {}
+                    Decision.OfState _ -> {}
         }
     }
 
--- a/node/src/main/java/org/carawaysill/node/lifecycle/EventLoopFactory.java
+++ b/node/src/main/java/org/carawaysill/node/lifecycle/EventLoopFactory.java
@@ -33,7 +33,7 @@
     private EventLoopFactory() {}
 
     /** Sets the library limits as {@link #create} does, for a process that uses Netty without Vert.x. */
-    public static void limitLibraries() {
+    public static void setLibraryLimits() {
         LIBRARY_LIMITS.forEach((name, value) -> {
             if (System.getProperty(name) == null) {
                 System.setProperty(name, value);
@@ -50,7 +50,7 @@
      * @return the instance, with one event loop
      */
     public static Vertx create() {
-        limitLibraries();
+        setLibraryLimits();
         FileSystemOptions noFiles =
                 new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false);
         return Vertx.vertx(new VertxOptions()
--- a/node/src/main/java/org/carawaysill/node/peer/PeerAdapter.java
+++ b/node/src/main/java/org/carawaysill/node/peer/PeerAdapter.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.carawaysill.kernel.ring.Offer;
+import org.carawaysill.kernel.ring.OfferResult;
 import org.carawaysill.kernel.service.Service;
 import org.carawaysill.kernel.service.ServiceRegistry;
 import org.carawaysill.model.identity.NodeName;
@@ -177,7 +177,7 @@
     }
 
     private void offerRequest(NodeName from, PeerMessage.PeerRequest request, Event event) {
-        if (inbox.offerWork(event) == Offer.FULL) {
+        if (inbox.offerWork(event) == OfferResult.FULL) {
             counters.count(LostMessage.PEER_REQUEST);
             counters.count(RefusalReason.RING_FULL);
             link.send(from, refusal(request));
@@ -197,7 +197,7 @@
     }
 
     private void offerNotice(Event event) {
-        if (inbox.offerNotice(event) == Offer.FULL) {
+        if (inbox.offerNotice(event) == OfferResult.FULL) {
             counters.count(LostMessage.PEER_NOTICE);
         }
     }
--- a/node/src/main/java/org/carawaysill/node/policy/EffectDispatcher.java
+++ b/node/src/main/java/org/carawaysill/node/policy/EffectDispatcher.java
@@ -40,14 +40,14 @@
 
     void dispatch(Effect effect) {
         switch (effect) {
-            case Effect.HandToCopy hand -> copy.send(hand);
+            case Effect.SendToCopy hand -> copy.send(hand);
             case Effect.CancelAtCopy cancel -> copy.cancel(cancel.attempt());
             case Effect.AnswerExchange answer -> exchanges.answer(answer.exchange(), answer.outcome());
             case Effect.SendToPeer send -> peers.send(send.peer(), send.message());
             case Effect.ConnectPeer connect -> peers.connect(connect.peer(), connect.host(), connect.port());
             case Effect.DisconnectPeer disconnect -> peers.disconnect(disconnect.peer());
             case Effect.ReadConfiguration read ->
-                platform.readConfiguration(read.service(), read.knownVersion(), read.patience());
+                platform.readConfiguration(read.service(), read.knownVersion(), read.maximumWait());
             case Effect.ReadVmList ignored -> platform.readVmList();
             case Effect.Count count -> counters.count(count.counted());
             case Effect.LogChange change ->
--- a/node/src/main/java/org/carawaysill/node/policy/PolicyInbox.java
+++ b/node/src/main/java/org/carawaysill/node/policy/PolicyInbox.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.carawaysill.kernel.ring.BoundedRing;
-import org.carawaysill.kernel.ring.Offer;
+import org.carawaysill.kernel.ring.OfferResult;
 import org.carawaysill.kernel.service.Service;
 import org.carawaysill.policy.event.Event;
 
@@ -56,8 +56,8 @@
      * @param event the event
      * @return whether the policy will receive it
      */
-    public Offer offerWork(Event event) {
-        return overflow.isEmpty() ? ring.offerBelow(arrival(event), WORK_LIMIT) : Offer.FULL;
+    public OfferResult offerWork(Event event) {
+        return overflow.isEmpty() ? ring.offerBelow(arrival(event), WORK_LIMIT) : OfferResult.FULL;
     }
 
     /**
@@ -66,8 +66,8 @@
      * @param event the event
      * @return whether the policy will receive it
      */
-    public Offer offerNotice(Event event) {
-        return overflow.isEmpty() ? ring.offer(arrival(event)) : Offer.FULL;
+    public OfferResult offerNotice(Event event) {
+        return overflow.isEmpty() ? ring.offer(arrival(event)) : OfferResult.FULL;
     }
 
     /**
@@ -78,7 +78,7 @@
      */
     public void deliver(Event event) {
         Arrival arrival = arrival(event);
-        if (overflow.isEmpty() && ring.offer(arrival) == Offer.ACCEPTED) {
+        if (overflow.isEmpty() && ring.offer(arrival) == OfferResult.ACCEPTED) {
             return;
         }
         overflow.add(arrival);
@@ -97,7 +97,7 @@
 
     private void retry() {
         Arrival oldest = overflow.peek();
-        while (oldest != null && ring.offer(oldest) == Offer.ACCEPTED) {
+        while (oldest != null && ring.offer(oldest) == OfferResult.ACCEPTED) {
             overflow.remove();
             oldest = overflow.peek();
         }
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnection.java
@@ -109,7 +109,7 @@
                 .addListener((ChannelFuture written) -> written(next, written.isSuccess()));
     }
 
-    private FullHttpRequest encode(FleetEffect.HandToCopy request, long remainingNanos) {
+    private FullHttpRequest encode(FleetEffect.SendToCopy request, long remainingNanos) {
         RequestContent content = request.content();
         ByteBuf bytes = Unpooled.wrappedBuffer(content.body().bytes());
         FullHttpRequest encoded = new DefaultFullHttpRequest(
@@ -119,7 +119,7 @@
         }
         long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(remainingNanos));
         encoded.headers().set(pool.dialect().requestName(), request.requestName());
-        encoded.headers().set(pool.dialect().patience(), Long.toString(millis));
+        encoded.headers().set(pool.dialect().clientTimeout(), Long.toString(millis));
         encoded.headers().set(pool.dialect().copy(), request.copy().value());
         encoded.headers()
                 .set(pool.dialect().callerService(), request.callerService().value());
@@ -131,7 +131,7 @@
     }
 
     /** Sets the organisation of the request's key, replacing any value in the request, and never sends the key. */
-    private void setOrganisation(FullHttpRequest encoded, FleetEffect.HandToCopy request) {
+    private void setOrganisation(FullHttpRequest encoded, FleetEffect.SendToCopy request) {
         encoded.headers().remove(pool.dialect().organisation());
         request.organisation().ifPresent(organisation -> {
             encoded.headers().remove(HttpHeaderNames.AUTHORIZATION);
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyConnections.java
@@ -142,7 +142,7 @@
      *
      * @param request the request
      */
-    public void send(FleetEffect.HandToCopy request) {
+    public void send(FleetEffect.SendToCopy request) {
         CopyExchange exchange = new CopyExchange(request);
         // With two exchanges under one identifier, each could get the other's answer.
         if (running.putIfAbsent(request.attempt(), exchange) != null) {
--- a/node/src/main/java/org/carawaysill/node/upstream/CopyExchange.java
+++ b/node/src/main/java/org/carawaysill/node/upstream/CopyExchange.java
@@ -11,16 +11,16 @@
  */
 final class CopyExchange {
 
-    private final FleetEffect.HandToCopy request;
+    private final FleetEffect.SendToCopy request;
     private Optional<CopyConnection> connection = Optional.empty();
     private long writtenNanos;
     private boolean ended;
 
-    CopyExchange(FleetEffect.HandToCopy request) {
+    CopyExchange(FleetEffect.SendToCopy request) {
         this.request = request;
     }
 
-    FleetEffect.HandToCopy request() {
+    FleetEffect.SendToCopy request() {
         return request;
     }
 
--- a/node/src/test/java/org/carawaysill/node/copy/CopyClientTest.java
+++ b/node/src/test/java/org/carawaysill/node/copy/CopyClientTest.java
@@ -72,7 +72,7 @@
     private void send(AttemptIdentifier attempt, String method, String desk) {
         RequestContent content = new RequestContent(
                 method, "/bills/7?full=true", List.of(new Header("X-Desk", desk)), Body.ofText("hello"));
-        client.send(new Effect.HandToCopy(
+        client.send(new Effect.SendToCopy(
                 attempt, content, System.nanoTime() + Duration.ofMinutes(1).toNanos()));
     }
 
--- a/node/src/test/java/org/carawaysill/node/entry/EntryServerTest.java
+++ b/node/src/test/java/org/carawaysill/node/entry/EntryServerTest.java
@@ -86,7 +86,7 @@
             FleetEvent.RequestArrived request = arrived();
             assertEquals("a", request.requestName());
             assertEquals("fleet.example", request.host());
-            assertEquals(Optional.of(Duration.ofMillis(1500)), request.patience());
+            assertEquals(Optional.of(Duration.ofMillis(1500)), request.clientTimeout());
             assertEquals("/bills/7?x=1", request.content().path());
             assertEquals(Body.ofText("abcde"), request.content().body());
             assertEquals(
--- a/node/src/test/java/org/carawaysill/node/exchange/ExchangeServerTest.java
+++ b/node/src/test/java/org/carawaysill/node/exchange/ExchangeServerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.approvaltests.Approvals;
-import org.carawaysill.kernel.ring.Offer;
+import org.carawaysill.kernel.ring.OfferResult;
 import org.carawaysill.model.identity.AttemptIdentifier;
 import org.carawaysill.model.identity.CallerName;
 import org.carawaysill.model.identity.ExchangeIdentifier;
@@ -101,7 +101,7 @@
 
         @Test
         void refusesImmediatelyIfTheRingIsFull() {
-            while (bench.inbox().offerWork(new Event.WakeUp()) == Offer.ACCEPTED) {
+            while (bench.inbox().offerWork(new Event.WakeUp()) == OfferResult.ACCEPTED) {
                 assertTrue(bench.inbox().ring().size() <= bench.inbox().ring().capacity());
             }
             String answer = send("GET /bill HTTP/1.1").readMessage();
--- a/node/src/test/java/org/carawaysill/node/fleet/FleetNodeTest.java
+++ b/node/src/test/java/org/carawaysill/node/fleet/FleetNodeTest.java
@@ -34,7 +34,7 @@
     private final FleetNode node = new FleetNode(
             settings(), "/ready", (_, _) -> new PublicationDecoder.Publication.Irrelevant(), this::source);
 
-    private PublishedSource source(EventLoop given) {
+    private PublishedEntrySource source(EventLoop given) {
         eventLoop.set(given);
         return _ -> new CompletableFuture<>();
     }
--- a/node/src/test/java/org/carawaysill/node/peer/PeerAdapterTest.java
+++ b/node/src/test/java/org/carawaysill/node/peer/PeerAdapterTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.carawaysill.kernel.ring.Offer;
+import org.carawaysill.kernel.ring.OfferResult;
 import org.carawaysill.model.identity.AttemptIdentifier;
 import org.carawaysill.model.identity.CallerName;
 import org.carawaysill.model.identity.NetworkAddress;
@@ -63,7 +63,7 @@
      */
     @Test
     void refusesARequestIfTheRingIsFull() {
-        while (bench.inbox().offerWork(new Event.WakeUp()) == Offer.ACCEPTED) {
+        while (bench.inbox().offerWork(new Event.WakeUp()) == OfferResult.ACCEPTED) {
             Thread.onSpinWait();
         }
         adapter.received(PEER, REQUEST);
@@ -79,7 +79,7 @@
 
     @Test
     void dropsOnlyMessagesThatLaterOnesReplace() {
-        while (bench.inbox().offerNotice(new Event.WakeUp()) == Offer.ACCEPTED) {
+        while (bench.inbox().offerNotice(new Event.WakeUp()) == OfferResult.ACCEPTED) {
             Thread.onSpinWait();
         }
         adapter.received(PEER, new PeerMessage.ConfigurationWanted(REQUEST.service(), 1));
--- a/node/src/test/java/org/carawaysill/node/policy/ForwardingPolicy.java
+++ b/node/src/test/java/org/carawaysill/node/policy/ForwardingPolicy.java
@@ -57,7 +57,7 @@
         }
         long deadline = now.plus(DEADLINE).nanos();
         deadlines.put(request.exchange(), deadline);
-        return List.of(new Effect.HandToCopy(attempt(request.exchange()), request.content(), deadline));
+        return List.of(new Effect.SendToCopy(attempt(request.exchange()), request.content(), deadline));
     }
 
     private static Effect refuse(ExchangeIdentifier exchange, RefusalReason reason) {
--- a/node/src/test/java/org/carawaysill/node/policy/PolicyInboxTest.java
+++ b/node/src/test/java/org/carawaysill/node/policy/PolicyInboxTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.stream.IntStream;
-import org.carawaysill.kernel.ring.Offer;
+import org.carawaysill.kernel.ring.OfferResult;
 import org.carawaysill.model.identity.ExchangeIdentifier;
 import org.carawaysill.node.testing.AdapterBench;
 import org.carawaysill.policy.event.Event;
@@ -32,20 +32,20 @@
     void losesNoDeliveredEventAndKeepsTheirOrder() {
         IntStream.range(0, MORE_THAN_THE_RING_HOLDS)
                 .forEach(i -> bench.inbox().deliver(new Event.ExchangeClosed(new ExchangeIdentifier(0, i))));
-        assertEquals(Offer.FULL, bench.inbox().offerWork(new Event.WakeUp()));
-        assertEquals(Offer.FULL, bench.inbox().offerNotice(new Event.WakeUp()));
+        assertEquals(OfferResult.FULL, bench.inbox().offerWork(new Event.WakeUp()));
+        assertEquals(OfferResult.FULL, bench.inbox().offerNotice(new Event.WakeUp()));
         for (int i = 0; i < MORE_THAN_THE_RING_HOLDS; i++) {
             assertEquals(i, bench.next(Event.ExchangeClosed.class).exchange().low());
         }
-        AdapterBench.await(() -> bench.inbox().offerWork(new Event.WakeUp()) == Offer.ACCEPTED);
+        AdapterBench.await(() -> bench.inbox().offerWork(new Event.WakeUp()) == OfferResult.ACCEPTED);
     }
 
     @Test
     void reservesHalfOfTheRingForEventsThatFinishWork() {
-        while (bench.inbox().offerWork(new Event.WakeUp()) == Offer.ACCEPTED) {
+        while (bench.inbox().offerWork(new Event.WakeUp()) == OfferResult.ACCEPTED) {
             Thread.onSpinWait();
         }
         assertEquals(bench.inbox().ring().capacity() / 2, bench.inbox().ring().size());
-        assertEquals(Offer.ACCEPTED, bench.inbox().offerNotice(new Event.WakeUp()));
+        assertEquals(OfferResult.ACCEPTED, bench.inbox().offerNotice(new Event.WakeUp()));
     }
 }
--- a/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
+++ b/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
@@ -55,7 +55,7 @@
 
     private AttemptIdentifier send(String name, Duration timeout) {
         AttemptIdentifier attempt = new AttemptIdentifier(0, ++attempts);
-        FleetEffect.HandToCopy effect = new FleetEffect.HandToCopy(
+        FleetEffect.SendToCopy effect = new FleetEffect.SendToCopy(
                 attempt,
                 new CopyName("copy-1"),
                 new ServiceName("front"),
--- a/policy/src/main/java/org/carawaysill/policy/effect/Effect.java
+++ b/policy/src/main/java/org/carawaysill/policy/effect/Effect.java
@@ -21,7 +21,7 @@
      * @param content the request
      * @param deadlineNanos the deadline on the monotonic clock
      */
-    record HandToCopy(AttemptIdentifier attempt, RequestContent content, long deadlineNanos) implements Effect {}
+    record SendToCopy(AttemptIdentifier attempt, RequestContent content, long deadlineNanos) implements Effect {}
 
     /**
      * Cancel a request at the local copy and close its connection.
@@ -67,9 +67,9 @@
      *
      * @param service the service
      * @param knownVersion the version already known, 0 for none
-     * @param patience how long the platform may hold the read open for a newer version; zero for a plain read
+     * @param maximumWait how long the platform may hold the read open for a newer version; zero for a plain read
      */
-    record ReadConfiguration(ServiceName service, long knownVersion, Duration patience) implements Effect {}
+    record ReadConfiguration(ServiceName service, long knownVersion, Duration maximumWait) implements Effect {}
 
     /** Read the platform's list of VMs. */
     record ReadVmList() implements Effect {}
--- a/policy/src/main/java/org/carawaysill/policy/engine/BaselinePolicy.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/BaselinePolicy.java
@@ -188,7 +188,7 @@
         call.attempts++;
         if (call.local) {
             register(call, call.deadlineNanos);
-            out.add(new Effect.HandToCopy(call.attempt, call.content, call.deadlineNanos));
+            out.add(new Effect.SendToCopy(call.attempt, call.content, call.deadlineNanos));
             return;
         }
         Optional<NodeName> peer = control.choose(now, call.service, call.tried, PRIORITY)
--- a/policy/src/main/java/org/carawaysill/policy/engine/ControlPlane.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/ControlPlane.java
@@ -63,7 +63,7 @@
         List<ServiceConfiguration> adopted = adoptNewDocuments(now);
         out.addAll(membership.handle(now, event, heartbeatContent));
         if (event instanceof Event.PeerReceived(NodeName from, Heartbeat heartbeat)) {
-            selector.heard(now.nanos(), from, heartbeat.load());
+            selector.loadReported(now.nanos(), from, heartbeat.load());
         }
         return adopted;
     }
@@ -105,7 +105,7 @@
                 .flatMap(Optional::stream)
                 .filter(directory::adopt)
                 .toList();
-        adopted.forEach(document -> selector.roster(now.nanos(), document));
+        adopted.forEach(document -> selector.updateRoster(now.nanos(), document));
         watchPeers(now);
         return adopted;
     }
@@ -115,7 +115,7 @@
                 .newest(identity.service())
                 .map(ServiceConfiguration::copies)
                 .orElse(List.of());
-        out.addAll(membership.watch(own, selector.wanted()));
+        out.addAll(membership.watch(own, selector.selectedCopies()));
     }
 
     /**
@@ -129,7 +129,7 @@
             return List.of();
         }
         present.forEach(
-                (node, state) -> selector.usable(now.nanos(), node, membership.mayGetNewWork(now.nanos(), node)));
+                (node, state) -> selector.setUsable(now.nanos(), node, membership.mayGetNewWork(now.nanos(), node)));
         Map<NodeName, PeerState> before = states;
         states = present;
         return present.entrySet().stream()
@@ -183,7 +183,7 @@
     }
 
     void withdrawn(Moment now, NodeName peer) {
-        selector.withdrawn(now.nanos(), peer);
+        selector.cancelled(now.nanos(), peer);
     }
 
     long nextWakeNanos() {
--- a/policy/src/main/java/org/carawaysill/policy/engine/WorkRunner.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/WorkRunner.java
@@ -144,7 +144,7 @@
         }
         checkHandOver(now, work);
         work.current(Optional.of(new Attempt.AtCopy(attempt)));
-        out.add(new Effect.HandToCopy(
+        out.add(new Effect.SendToCopy(
                 attempt, work.facts().content(), work.facts().deadlineNanos()));
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Arrivals.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Arrivals.java
@@ -79,7 +79,7 @@
         if (intake == Intake.CALLS && !admission.isCall(route, origin)) {
             return refused(arrival, RefusalReason.DRAINING, Step.DRAIN);
         }
-        Duration wait = arrival.patience()
+        Duration wait = arrival.clientTimeout()
                 .filter(patience -> patience.compareTo(route.timeout()) < 0)
                 .orElse(route.timeout());
         return Optional.of(new OutgoingRequest(
--- a/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
@@ -22,8 +22,8 @@
 import org.carawaysill.policy.fleet.copy.Copy;
 import org.carawaysill.policy.fleet.copy.LocalRun;
 import org.carawaysill.policy.fleet.quarantine.Fingerprints;
-import org.carawaysill.policy.fleet.quarantine.Standing;
 import org.carawaysill.policy.fleet.quarantine.SuspectTable;
+import org.carawaysill.policy.fleet.quarantine.SuspicionState;
 import org.carawaysill.policy.message.PeerMessage;
 import org.carawaysill.policy.message.PeerMessage.CopyRequest;
 import org.carawaysill.policy.message.Suspicion;
@@ -79,20 +79,20 @@
     }
 
     /** Returns what is known of a request; costs nothing as long as no copy has crashed. */
-    private Standing standing(
+    private SuspicionState standing(
             long now, ServiceName service, Optional<OrganisationName> organisation, RequestContent content) {
         return table.isEmpty()
-                ? new Standing.Clear()
-                : table.standing(now, fingerprints.of(service, organisation, content));
+                ? new SuspicionState.Clear()
+                : table.suspicionState(now, fingerprints.of(service, organisation, content));
     }
 
-    private Standing standing(long now, CopyRequest request) {
+    private SuspicionState standing(long now, CopyRequest request) {
         return standing(now, request.service(), request.organisation(), request.content());
     }
 
     /** Returns whether a copy crashed while it ran a request that has not been cleared since. */
     boolean isSuspected(long now, CopyRequest request) {
-        return standing(now, request) instanceof Standing.Suspected;
+        return standing(now, request) instanceof SuspicionState.Suspected;
     }
 
     /**
@@ -108,16 +108,16 @@
     /** Decides whether a request may run at the local copy. */
     Placement placement(long now, CopyRequest request) {
         return switch (standing(now, request)) {
-            case Standing.Clear _ -> new Placement.Unsuspected();
-            case Standing.Suspected suspected -> placement(now, request, suspected);
-            case Standing.Quarantined found -> {
+            case SuspicionState.Clear _ -> new Placement.Unsuspected();
+            case SuspicionState.Suspected suspected -> placement(now, request, suspected);
+            case SuspicionState.Quarantined found -> {
                 logRefused(request.requestName(), found);
                 yield new Placement.Refused(refusal(found, Step.QUEUE));
             }
         };
     }
 
-    private Placement placement(long now, CopyRequest request, Standing.Suspected suspected) {
+    private Placement placement(long now, CopyRequest request, SuspicionState.Suspected suspected) {
         Optional<NodeName> place = permittedNode(now, request.service(), suspected);
         effects.log(new Decision.SuspectHandled(
                 request.requestName(),
@@ -135,20 +135,21 @@
     /** Refuses a client's request that is quarantined because copies crashed; returns empty for any other request. */
     Optional<Outcome.NotRun> refusal(long now, OutgoingRequest request) {
         FleetEvent.RequestArrived arrival = request.arrival();
-        Standing standing = standing(now, request.service(), request.origin().organisationName(), arrival.content());
-        if (standing instanceof Standing.Quarantined found) {
+        SuspicionState standing =
+                standing(now, request.service(), request.origin().organisationName(), arrival.content());
+        if (standing instanceof SuspicionState.Quarantined found) {
             logRefused(arrival.requestName(), found);
             return Optional.of(refusal(found, Step.ADMISSION));
         }
         return Optional.empty();
     }
 
-    private static Outcome.NotRun refusal(Standing.Quarantined found, Step step) {
+    private static Outcome.NotRun refusal(SuspicionState.Quarantined found, Step step) {
         return new Outcome.NotRun(
                 RefusalReason.QUARANTINED, Duration.ofNanos(found.remainingNanos()), step, Optional.empty());
     }
 
-    private void logRefused(String requestName, Standing.Quarantined found) {
+    private void logRefused(String requestName, SuspicionState.Quarantined found) {
         effects.log(new Decision.SuspectHandled(requestName, found.fingerprint(), "quarantined", found.crashes(), "-"));
     }
 
@@ -159,7 +160,7 @@
      * crash is known. When all copies crash and restart, each node learns of its own first: a request that crashed
      * several copies waits until all nodes know which are back, so that it does not run at each of them.
      */
-    private Optional<NodeName> permittedNode(long now, ServiceName service, Standing.Suspected suspected) {
+    private Optional<NodeName> permittedNode(long now, ServiceName service, SuspicionState.Suspected suspected) {
         Set<NodeName> candidates = new HashSet<>();
         for (Copy copy : view.copies().usable(service)) {
             boolean known = !suspected.mustRunAlone() || copy.isKnownFor(now, KNOWN_EVERYWHERE);
@@ -205,11 +206,11 @@
     }
 
     private boolean isSuspected(long now, Fingerprint fingerprint) {
-        return table.standing(now, fingerprint) instanceof Standing.Suspected;
+        return table.suspicionState(now, fingerprint) instanceof SuspicionState.Suspected;
     }
 
     private boolean isQuarantined(long now, Fingerprint fingerprint) {
-        return table.standing(now, fingerprint) instanceof Standing.Quarantined;
+        return table.suspicionState(now, fingerprint) instanceof SuspicionState.Quarantined;
     }
 
     /**
@@ -243,13 +244,14 @@
     /** Notes that the local copy answered a request; returns whether that cleared a suspicion. */
     boolean answered(long now, CopyRequest request) {
         ServiceName service = request.service();
-        Standing standing = standing(now, request);
+        SuspicionState standing = standing(now, request);
         switch (standing) {
-            case Standing.Clear _ -> {}
-            case Standing.Suspected suspected -> clear(now, service, suspected.fingerprint(), suspected.crashes());
-            case Standing.Quarantined found -> clear(now, service, found.fingerprint(), found.crashes());
+            case SuspicionState.Clear _ -> {}
+            case SuspicionState.Suspected suspected ->
+                clear(now, service, suspected.fingerprint(), suspected.crashes());
+            case SuspicionState.Quarantined found -> clear(now, service, found.fingerprint(), found.crashes());
         }
-        return !(standing instanceof Standing.Clear);
+        return !(standing instanceof SuspicionState.Clear);
     }
 
     private void clear(long now, ServiceName service, Fingerprint fingerprint, int crashes) {
@@ -305,7 +307,7 @@
         quarantined.removeIf(fingerprint -> isQuarantined(now, fingerprint));
         boolean changed = false;
         for (Suspicion suspicion : message.suspicions()) {
-            changed |= table.join(now, message.service(), suspicion);
+            changed |= table.merge(now, message.service(), suspicion);
         }
         quarantined.removeIf(fingerprint -> !isQuarantined(now, fingerprint));
         quarantined.forEach(fingerprint -> logQuarantine(now, fingerprint, "reported by " + from));
@@ -326,7 +328,7 @@
     }
 
     private void logQuarantine(long now, Fingerprint fingerprint, String why) {
-        if (table.standing(now, fingerprint) instanceof Standing.Quarantined found) {
+        if (table.suspicionState(now, fingerprint) instanceof SuspicionState.Quarantined found) {
             effects.log(new Decision.SuspicionChanged(
                     fingerprint, "quarantined", found.crashes(), found.remainingNanos(), why));
         }
@@ -336,7 +338,7 @@
     void passTime(long now) {
         if (now >= nextSweepNanos) {
             nextSweepNanos = now + SWEEP_NANOS;
-            int forgotten = table.forget(now);
+            int forgotten = table.removeExpired(now);
             if (forgotten > 0) {
                 effects.log(new Decision.SuspicionsForgotten(forgotten, table.size()));
             }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Decision.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Decision.java
@@ -37,7 +37,7 @@
     sealed interface OfRequest extends Decision {}
 
     /** A change of the node's known state. Immutable and thread safe. */
-    sealed interface OfBelief extends Decision {}
+    sealed interface OfState extends Decision {}
 
     /**
      * An attempt was sent to a copy.
@@ -163,7 +163,7 @@
      * @param learnedFrom the platform, or the node that sent it
      */
     record ConfigurationAdopted(long version, long replaced, int routes, Revision revision, String learnedFrom)
-            implements OfBelief {
+            implements OfState {
 
         @Override
         public String subject() {
@@ -187,7 +187,7 @@
      * @param version the configuration in force, which may be newer than the published one
      */
     record EraChanged(Eras.Change change, Revision asOf, Revision asOfBefore, int known, long version)
-            implements OfBelief {
+            implements OfState {
 
         @Override
         public String subject() {
@@ -209,7 +209,7 @@
      * @param revision the platform's revision of it
      * @param fault the fault and its position
      */
-    record EntryRefused(String subject, Revision revision, String fault) implements OfBelief {
+    record EntryRefused(String subject, Revision revision, String fault) implements OfState {
 
         @Override
         public String fields() {
@@ -229,7 +229,7 @@
      */
     record CopyChanged(
             CopyName copy, ServiceName service, String address, String state, Revision revision, String learnedFrom)
-            implements OfBelief {
+            implements OfState {
 
         /** The state of a copy that may get work. */
         public static final String READY = "ready";
@@ -255,7 +255,7 @@
      * @param requests their fingerprints
      */
     record CopyCrashed(CopyName copy, long startedAtMillis, int running, List<Fingerprint> requests)
-            implements OfBelief {
+            implements OfState {
 
         /** Limits the line to three kilobytes; only on large sites does a copy have more slots than this. */
         private static final int MOST_LISTED = 100;
@@ -289,7 +289,7 @@
      * @param why the evidence for the state
      */
     record SuspicionChanged(Fingerprint fingerprint, String state, int crashes, long remainingNanos, String why)
-            implements OfBelief {
+            implements OfState {
 
         @Override
         public String subject() {
@@ -309,7 +309,7 @@
      * @param forgotten the number of requests forgotten
      * @param left the number of requests still suspected or refused
      */
-    record SuspicionsForgotten(int forgotten, int left) implements OfBelief {
+    record SuspicionsForgotten(int forgotten, int left) implements OfState {
 
         @Override
         public String subject() {
@@ -347,7 +347,7 @@
      * @param state its known state
      * @param detail the reason, with ages
      */
-    record DependencyChanged(String subject, String state, String detail) implements OfBelief {
+    record DependencyChanged(String subject, String state, String detail) implements OfState {
 
         @Override
         public String fields() {
@@ -365,7 +365,7 @@
      * @param reports the number of nodes whose reports it is based on
      */
     record ShareChanged(String subject, int organisationRank, double share, double offered, int reports)
-            implements OfBelief {
+            implements OfState {
 
         @Override
         public String fields() {
@@ -381,7 +381,7 @@
      * @param inFlight requests in flight
      * @param queued requests waiting
      */
-    record LimitChanged(int limit, int inFlight, int queued) implements OfBelief {
+    record LimitChanged(int limit, int inFlight, int queued) implements OfState {
 
         @Override
         public String subject() {
@@ -400,7 +400,7 @@
      * @param copy the copy
      * @param success the share of this node's recent requests that succeeded at it
      */
-    record CopyJudged(CopyName copy, double success) implements OfBelief {
+    record CopyJudged(CopyName copy, double success) implements OfState {
 
         @Override
         public String subject() {
@@ -419,7 +419,7 @@
      * @param state the new state
      * @param detail the reason
      */
-    record NodeChanged(String state, String detail) implements OfBelief {
+    record NodeChanged(String state, String detail) implements OfState {
 
         @Override
         public String subject() {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FinalAnswers.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FinalAnswers.java
@@ -57,9 +57,9 @@
     private void updateCosts(DemandKey key, OutgoingRequest request, Outcome outcome) {
         if (AttemptRules.isSuccess(outcome)) {
             demand.completed(key);
-            plan.learn(key.route(), request.times().list());
+            plan.addCost(key.route(), request.times().list());
         } else {
-            plan.learnLeast(key.route(), request.times().list());
+            plan.addMinimumCost(key.route(), request.times().list());
         }
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetEffect.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetEffect.java
@@ -29,7 +29,7 @@
      * @param content the request
      * @param deadlineNanos the deadline on the monotonic clock
      */
-    record HandToCopy(
+    record SendToCopy(
             AttemptIdentifier attempt,
             CopyName copy,
             ServiceName callerService,
@@ -50,7 +50,7 @@
      * Close the idle connections to the local copy: its process has restarted, and data sent on a connection to the
      * earlier process is lost.
      */
-    record CloseIdleAtCopy() implements FleetEffect {}
+    record CloseIdleCopyConnections() implements FleetEffect {}
 
     /**
      * Send a client the outcome of its request.
@@ -93,16 +93,16 @@
      * Read published entries at the platform.
      *
      * @param after the revision whose later changes are requested; empty for all entries
-     * @param patience how long the platform may hold the read until there is a change
+     * @param maximumWait how long the platform may hold the read until there is a change
      */
-    record ReadEntries(OptionalLong after, Duration patience) implements FleetEffect {}
+    record ReadEntries(OptionalLong after, Duration maximumWait) implements FleetEffect {}
 
     /**
      * Apply new limits to clients.
      *
      * @param limits the limits
      */
-    record LimitClients(ClientLimits limits) implements FleetEffect {}
+    record ApplyClientLimits(ClientLimits limits) implements FleetEffect {}
 
     /**
      * Report to the platform whether clients may be sent to this node.
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetEvent.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetEvent.java
@@ -22,7 +22,7 @@
      * @param exchange the HTTP exchange to answer
      * @param requestName the client's own name for the request
      * @param host the host that it names
-     * @param patience how long the client waits, if it says so
+     * @param clientTimeout how long the client waits, if it says so
      * @param credential the credential that identifies its organisation
      * @param content the request, without the header fields of the credential
      */
@@ -30,7 +30,7 @@
             ExchangeIdentifier exchange,
             String requestName,
             String host,
-            Optional<Duration> patience,
+            Optional<Duration> clientTimeout,
             Credential credential,
             RequestContent content)
             implements FleetEvent {}
@@ -139,7 +139,7 @@
     record SettingsChanged(FleetSettings settings) implements FleetEvent {}
 
     /** A planned stop was requested: the process ends once its requests are finished. */
-    record StopOrdered() implements FleetEvent {}
+    record StopRequested() implements FleetEvent {}
 
     /** Time passed; sent when the policy's next wake-up is due. */
     record WakeUp() implements FleetEvent {}
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetPolicy.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetPolicy.java
@@ -77,7 +77,7 @@
         exchange = new PublicationExchange(now, effects, view);
         announcedDigest = view.published().digest();
         demand = new DemandMeter(now);
-        plan = new EntryPlan(settings.without());
+        plan = new EntryPlan(settings.disabledMechanisms());
         ReachableNodes reachableNodes = new ReachableNodes(settings.self(), peers, state);
         suspects = new CrashSuspects(settings, effects, view, peers, reachableNodes);
         localRuns = new LocalRuns(settings, effects, suspects);
@@ -124,7 +124,7 @@
             }
             case FleetEvent.EntriesReadFailed failed -> view.readFailed(now, failed.failure());
             case FleetEvent.SettingsChanged changed -> reload(changed.settings());
-            case FleetEvent.StopOrdered _ -> plannedStop.order(now);
+            case FleetEvent.StopRequested _ -> plannedStop.order(now);
         }
         passTime(now);
         return effects.drain();
@@ -184,8 +184,8 @@
         peers.reported(now, from, report);
         state.reported(now, from, report);
         for (Copy copy : view.copies().beside(from)) {
-            copy.told(now, report.load());
-            copy.works(report.workSeconds());
+            copy.receiveLoad(now, report.load());
+            copy.receiveWorkSeconds(report.workSeconds());
         }
         exchange.stateReceived(now, from, report.sameZone(), report.published());
     }
@@ -279,7 +279,7 @@
         if (view.mayReadPlatform()) {
             able.add(self);
         }
-        for (Copy copy : view.copies().withUnnamed()) {
+        for (Copy copy : view.copies().allIncludingUnconfigured()) {
             NodeName node = copy.node();
             if (!node.equals(settings.self()) && peers.isReachable(node) && state.isListed(node)) {
                 Readers.Candidate candidate =
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetSettings.java
@@ -23,7 +23,7 @@
  * @param stopLimit the time that a planned stop may take before the process is killed
  * @param retries the bound of retries in the whole fleet
  * @param allowances how far the requests of an organisation may exceed its allowance in the whole fleet
- * @param without mechanisms that are switched off to measure their effect; empty in normal operation
+ * @param disabledMechanisms mechanisms that are switched off to measure their effect; empty in normal operation
  */
 public record FleetSettings(
         NodeName self,
@@ -34,9 +34,9 @@
         Duration stopLimit,
         RetrySettings retries,
         AllowanceBounds allowances,
-        Set<Mechanism> without) {
+        Set<Mechanism> disabledMechanisms) {
 
     public FleetSettings {
-        without = Set.copyOf(without);
+        disabledMechanisms = Set.copyOf(disabledMechanisms);
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
@@ -13,7 +13,7 @@
 import org.carawaysill.policy.fleet.allowance.FleetAllowances;
 import org.carawaysill.policy.fleet.copy.Copy;
 import org.carawaysill.policy.fleet.summary.Aggregators;
-import org.carawaysill.policy.fleet.summary.Group;
+import org.carawaysill.policy.fleet.summary.ReportAggregator;
 import org.carawaysill.policy.fleet.summary.RouteSums;
 import org.carawaysill.policy.fleet.summary.Summaries;
 import org.carawaysill.policy.message.PeerMessage;
@@ -37,7 +37,7 @@
     private final PublishedView view;
     private final Peers peers;
     private final FleetAllowances allowances;
-    private final Group group = new Group();
+    private final ReportAggregator group = new ReportAggregator();
     private final Summaries groupSummaries = new Summaries();
     private final Summaries fleetSummaries = new Summaries();
     private Aggregators aggregators = new Aggregators(Map.of());
@@ -61,12 +61,12 @@
 
     /** Receives another aggregator's summary of the reports that it received. */
     void groupSummaryReceived(long now, NodeName from, StateSummary summary) {
-        groupSummaries.told(now, from, summary);
+        groupSummaries.receive(now, from, summary);
     }
 
     /** Receives the summary of the fleet from an aggregator of this node's zone. */
     void fleetSummaryReceived(long now, NodeName from, StateSummary summary) {
-        fleetSummaries.told(now, from, summary);
+        fleetSummaries.receive(now, from, summary);
         if (!isAggregator()) {
             update(now, fleetSummaries.all());
             updateAllowanceUses(now, summary);
@@ -93,7 +93,7 @@
         aggregators = new Aggregators(reachableByZone());
         boolean primary = reportToAggregators(now, own);
         if (isAggregator()) {
-            sendSummaries(now, primary ? own : own.toBeKnown(true));
+            sendSummaries(now, primary ? own : own.withoutDemands(true));
         } else {
             update(now, fleetSummaries.all());
             addOwnDemand(own);
@@ -102,7 +102,7 @@
 
     private Map<AvailabilityZone, List<NodeName>> reachableByZone() {
         Map<NodeName, AvailabilityZone> zones = new HashMap<>();
-        for (Copy copy : view.copies().withUnnamed()) {
+        for (Copy copy : view.copies().allIncludingUnconfigured()) {
             if (peers.isReachable(copy.node())) {
                 zones.put(copy.node(), copy.record().zone());
             }
@@ -121,7 +121,7 @@
         for (NodeName receiver : receivers) {
             if (!receiver.equals(settings.self())) {
                 boolean whole = receiver.equals(primary);
-                send(now, receiver, own.toBeSummed(whole));
+                send(now, receiver, own.forAggregator(whole));
             }
         }
         return primary.equals(settings.self());
@@ -138,7 +138,7 @@
         others.forEach(other -> send(now, other, new PeerMessage.GroupSummary(groupSummary)));
         List<StateSummary> all = new ArrayList<>(groupSummaries.all());
         all.add(groupSummary);
-        StateSummary joined = Summaries.join(own.published(), all);
+        StateSummary joined = Summaries.merge(own.published(), all);
         for (NodeName member : group.members()) {
             if (!others.contains(member)) {
                 effects.add(new FleetEffect.SendToPeer(member, new PeerMessage.FleetSummary(joined)));
@@ -149,7 +149,7 @@
     }
 
     private void updateAllowanceUses(long now, StateSummary summary) {
-        allowances.told(now, summary.uses(), summary.nodes().size());
+        allowances.receiveUse(now, summary.uses(), summary.nodes().size());
     }
 
     /**
@@ -174,8 +174,8 @@
         for (Copy copy : view.copies().all()) {
             NodeState state = states.get(copy.node());
             if (state != null) {
-                copy.toldByOthers(now, state.load());
-                copy.works(state.workSeconds());
+                copy.receiveRelayedLoad(now, state.load());
+                copy.receiveWorkSeconds(state.workSeconds());
             }
         }
     }
@@ -204,10 +204,10 @@
 
     /** Sends this node's report to another node, which does not include it in a summary. */
     void sendReport(NodeName receiver, NodeReport own) {
-        boolean sameZone = view.copies().withUnnamed().stream()
+        boolean sameZone = view.copies().allIncludingUnconfigured().stream()
                 .filter(copy -> copy.node().equals(receiver))
                 .anyMatch(copy -> copy.record().zone().equals(settings.zone()));
-        effects.add(new FleetEffect.SendToPeer(receiver, own.toBeKnown(sameZone)));
+        effects.add(new FleetEffect.SendToPeer(receiver, own.withoutDemands(sameZone)));
     }
 
     /** Returns whether a node is in the latest summaries; true for every node while there are none. */
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Identification.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Identification.java
@@ -60,7 +60,7 @@
                     ? new Result.Refused(RefusalReason.KEY_MISSING)
                     : new Result.Accepted(Optional.empty());
         }
-        Optional<Organisation> holder = credential.key().flatMap(organisations.get()::holderOf);
+        Optional<Organisation> holder = credential.key().flatMap(organisations.get()::findByKey);
         return holder.isPresent() ? new Result.Accepted(holder) : new Result.Refused(unknownKeyReason(now, credential));
     }
 
@@ -83,7 +83,7 @@
                 arrival.exchange(),
                 arrival.requestName(),
                 arrival.host(),
-                arrival.patience(),
+                arrival.clientTimeout(),
                 Credential.NONE,
                 arrival.content()
                         .withHeaders(checked ? List.of() : arrival.credential().fields()));
--- a/policy/src/main/java/org/carawaysill/policy/fleet/LocalRuns.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/LocalRuns.java
@@ -62,7 +62,7 @@
     LocalRuns(FleetSettings settings, Effects effects, CrashSuspects suspects) {
         this.effects = effects;
         this.suspects = suspects;
-        gate = new CopyGate(settings.without());
+        gate = new CopyGate(settings.disabledMechanisms());
     }
 
     void localSender(LocalSender sender) {
@@ -140,8 +140,8 @@
      * does not state when it started, only idle connections are closed.
      */
     private void restarted(Moment moment, CopyRecord record) {
-        gate.renewed(moment.nanos());
-        effects.add(new FleetEffect.CloseIdleAtCopy());
+        gate.copyRestarted(moment.nanos());
+        effects.add(new FleetEffect.CloseIdleCopyConnections());
         List<LocalRun> runs = gate.all().stream()
                 .filter(run -> isFromEarlierProcess(moment, run, record))
                 .toList();
@@ -194,7 +194,7 @@
             }
             case Placement.OnlyHere(Fingerprint fingerprint, boolean alone) -> {
                 run.suspect(fingerprint, alone);
-                if (!gate.hold(run)) {
+                if (!gate.enqueueSuspect(run)) {
                     refuse(now, run, RefusalReason.QUEUE_FULL, Step.QUEUE);
                 }
             }
@@ -206,7 +206,7 @@
     void recheck(long now) {
         gate.all().stream()
                 .filter(run -> run.isRunning() && suspects.isSuspected(now, run.request()))
-                .forEach(gate::join);
+                .forEach(gate::suspectRunning);
         gate.takeWaiting().forEach(run -> admit(now, run));
         startNext(now);
     }
@@ -224,7 +224,7 @@
     private void sendToCopy(LocalRun run) {
         CopyRequest request = run.request();
         runningByName.put(request.requestName(), run);
-        effects.add(new FleetEffect.HandToCopy(
+        effects.add(new FleetEffect.SendToCopy(
                 request.attempt(),
                 request.copy(),
                 request.callerService(),
@@ -271,7 +271,7 @@
     }
 
     private void startNext(long now) {
-        gate.settleSuspectsUntil(suspects.earliestSuspectRunNanos());
+        gate.delaySuspectsUntil(suspects.earliestSuspectRunNanos());
         gate.startNext(now).forEach(run -> sendToCopy(run));
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/OutgoingRequests.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/OutgoingRequests.java
@@ -71,7 +71,7 @@
         this.localRuns = parts.localRuns();
         this.suspects = parts.suspects();
         this.random = random;
-        choice = new CopyChoice(settings.self(), settings.zone(), settings.without(), random);
+        choice = new CopyChoice(settings.self(), settings.zone(), settings.disabledMechanisms(), random);
         retryLimiter = new RetryLimiter(parts);
         admission = new Admission(parts, random);
         answers = new FinalAnswers(parts);
@@ -155,7 +155,7 @@
             return;
         }
         Copy copy = chosen.get();
-        double load = copy.expectedLoad(now, settings.without());
+        double load = copy.expectedLoad(now, settings.disabledMechanisms());
         AttemptIdentifier attempt = new AttemptIdentifier(random.nextLong(), random.nextLong());
         request.sent(copy, attempt);
         copy.sent();
@@ -211,7 +211,7 @@
         Copy copy = request.copy().get();
         if (copy.node().equals(from)) {
             answered(now, answer.attempt(), answer.outcome(), answer.times());
-            copy.told(now, answer.load());
+            copy.receiveLoad(now, answer.load());
         }
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/PublicationUpdates.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PublicationUpdates.java
@@ -62,7 +62,7 @@
     }
 
     void forget(String key) {
-        changes.forget(key);
+        changes.discard(key);
     }
 
     /** Returns the revision up to which all relevant changes are known. */
--- a/policy/src/main/java/org/carawaysill/policy/fleet/PublishedView.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PublishedView.java
@@ -100,11 +100,11 @@
 
     /** Notes that another node recently failed to read the platform. */
     void otherNodeFailedToRead(long now) {
-        reads.othersFail(now);
+        reads.otherNodeFailed(now);
     }
 
     void setReader(long now, boolean forOthers) {
-        reads.reader(now, forOthers);
+        reads.setReader(now, forOthers);
     }
 
     long dueNanos() {
@@ -114,7 +114,7 @@
     /** Schedules a full read soon, whichever nodes read at present. */
     void readEverything(long now) {
         effects.log(new Decision.DependencyChanged(PLATFORM, "read_anew", "other nodes report a different state"));
-        reads.everythingAt(now);
+        reads.scheduleCompleteRead(now);
     }
 
     void startRead(long now) {
@@ -128,7 +128,7 @@
         apply(
                 now,
                 newer.entries(),
-                new Source(PLATFORM, Revision.NONE, reads.returnsUntilNanos(now), newer.meanings()));
+                new Source(PLATFORM, Revision.NONE, reads.reappearanceDeadlineNanos(now), newer.meanings()));
     }
 
     void readFailed(long now, FleetEvent.ReadFailure failure) {
@@ -152,14 +152,14 @@
         if (message.upTo().era() > knownUpTo().era()) {
             reads.eraBegan(now);
         }
-        List<KnownEntry> newer = entries.mergeTold(message.upTo(), message.complete(), message.entries());
+        List<KnownEntry> newer = entries.mergeReceived(message.upTo(), message.complete(), message.entries());
         Source source = new Source(from.value(), message.upTo(), now, Map.of());
         apply(now, newer, source);
         newer.forEach(entry -> expectRepublication(now, entry));
         message.entries().forEach(entry -> removeIfKnownRemoved(now, entry, source));
         updates.caughtUp(message.upTo());
         if (configuration.isPresent()) {
-            reads.told(now);
+            reads.stateReceived(now);
         }
     }
 
@@ -264,8 +264,8 @@
         Map<String, Route> byName = new HashMap<>();
         published.routes().forEach(route -> byName.put(route.name(), route));
         routesByName = byName;
-        copies.named(published.services());
-        effects.add(new FleetEffect.LimitClients(published.limits()));
+        copies.setConfiguredServices(published.services());
+        effects.add(new FleetEffect.ApplyClientLimits(published.limits()));
     }
 
     /**
@@ -279,7 +279,7 @@
             updates.dropped(key, entries.asOf());
             logCopy(copy, GONE, entries.asOf(), PLATFORM);
         });
-        entries.forgetRemoved(now).forEach(updates::forget);
+        entries.discardRemoved(now).forEach(updates::forget);
         reads.passTime(now);
     }
 
@@ -304,7 +304,10 @@
     int nodeCount(long now, Predicate<NodeName> inTouch) {
         Set<String> hosts = new HashSet<>();
         copies.all().forEach(copy -> hosts.add(copy.node().value()));
-        copies.withUnnamed().stream().map(Copy::node).filter(inTouch).forEach(node -> hosts.add(node.value()));
+        copies.allIncludingUnconfigured().stream()
+                .map(Copy::node)
+                .filter(inTouch)
+                .forEach(node -> hosts.add(node.value()));
         return lapsed.countWith(now, hosts);
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/ReadAnswers.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/ReadAnswers.java
@@ -61,15 +61,15 @@
         Map<KnownEntry, Publication> meanings = decode(read.entries());
         List<KnownEntry> newer = merge(now, asOf, read.complete(), List.copyOf(meanings.keySet()));
         if (!continues) {
-            reads.everythingAt(now);
+            reads.scheduleCompleteRead(now);
         }
-        reads.everythingEachTime(eras.isLost());
+        reads.setCompleteReads(eras.isUnreadable());
         return new NewerEntries(newer, meanings);
     }
 
     /** Receives the era of entries that another node sent. */
     void eraReceived(long era) {
-        eras.heard(era);
+        eras.receiveFromNode(era);
     }
 
     static String describe(Revision asOf) {
@@ -100,10 +100,10 @@
         if (!complete) {
             return entries.mergeChanges(asOf, given);
         }
-        boolean trusted = reads.trustsWhatIsShown(now) && !eras.isLost();
+        boolean trusted = reads.isStateTrusted(now) && !eras.isUnreadable();
         List<KnownEntry> newer = entries.mergeAll(asOf, trusted, given);
-        if (entries.contradicts(given)) {
-            reads.everythingOnceTrusted(now);
+        if (entries.listsRemovedEntry(given)) {
+            reads.scheduleCompleteReadOnceTrusted(now);
         }
         return newer;
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/RetryLimiter.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/RetryLimiter.java
@@ -34,14 +34,14 @@
 
     /** Counts a request that is sent for the first time. */
     void countFirstSend(long now, ServiceName service) {
-        allowance.first(now, service);
+        allowance.countFirstAttempt(now, service);
     }
 
     /** Decides whether a request may be retried, and takes the retry from the allowance if so. */
     boolean tryTake(long now, OutgoingRequest request) {
         return request.possibleRuns() < request.route().maximumAttempts()
                 && hasUntriedCopy(now, request)
-                && allowance.take(now, request.service());
+                && allowance.takeRetry(now, request.service());
     }
 
     private boolean hasUntriedCopy(long now, OutgoingRequest request) {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
@@ -40,15 +40,15 @@
     /** Returns the loads by service; a service without a copy that may get work is absent. */
     Map<ServiceName, ServiceLoad> sum(long now) {
         updateOwnCopy(now);
-        return settings.without().contains(Mechanism.USABLE_SLOTS) ? ofAllNodes(now) : ofUsableCopies(now);
+        return settings.disabledMechanisms().contains(Mechanism.USABLE_SLOTS) ? ofAllNodes(now) : ofUsableCopies(now);
     }
 
     /** Updates the load of this node's own copy, which no other node reports to it. */
     private void updateOwnCopy(long now) {
         for (Copy copy : view.copies().usable(settings.service())) {
             if (copy.node().equals(settings.self())) {
-                copy.told(now, localRuns.load(now));
-                copy.works(localRuns.workSeconds(now));
+                copy.receiveLoad(now, localRuns.load(now));
+                copy.receiveWorkSeconds(localRuns.workSeconds(now));
             }
         }
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/allowance/AllowanceBounds.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/allowance/AllowanceBounds.java
@@ -40,7 +40,7 @@
      * @param allowance the allowance
      * @return requests
      */
-    public double most(Allowance allowance) {
+    public double maximum(Allowance allowance) {
         return allowed(allowance) * (1 + overshoot) + slack;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/allowance/FleetAllowances.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/allowance/FleetAllowances.java
@@ -125,7 +125,7 @@
      * @param sums their use of each organisation's allowance within the last window
      * @param ofNodes the number of these nodes, including this one
      */
-    public void told(long now, List<OrganisationUse> sums, int ofNodes) {
+    public void receiveUse(long now, List<OrganisationUse> sums, int ofNodes) {
         reportedNanos = now;
         reportingNodes = Math.max(1, ofNodes);
         for (OrganisationUse sum : sums) {
@@ -187,7 +187,7 @@
     private double planned(Allowance allowance) {
         double allowed = bounds.allowed(allowance);
         double planned = PLANNED_OVERSHOOT * Math.min(1, NODES_DETECTING_RISE / nodes);
-        return allowed + planned * (bounds.most(allowance) - allowed);
+        return allowed + planned * (bounds.maximum(allowance) - allowed);
     }
 
     /**
@@ -226,7 +226,7 @@
     private boolean isWithinEvenRate(long now, Allowance allowance, Use use, int reporting) {
         long unreportedNanos = unreportedNanos(now);
         double even = allowance.perSecond() * unreportedNanos / Nanos.PER_SECOND / reporting;
-        return use.own.since(now, now - unreportedNanos) + 1 <= even;
+        return use.own.countSince(now, now - unreportedNanos) + 1 <= even;
     }
 
     /**
@@ -255,8 +255,8 @@
         long unreportedNanos = unreportedNanos(now);
         double least = MINIMUM_EXPECTED_PART * allowance.perSecond() * unreportedNanos / Nanos.PER_SECOND;
         double usual = Math.max(least, known * unreportedNanos / bounds.window().toNanos());
-        double own = use.own.since(now, now - unreportedNanos);
-        double asked = use.asked.since(now, now - unreportedNanos);
+        double own = use.own.countSince(now, now - unreportedNanos);
+        double asked = use.asked.countSince(now, now - unreportedNanos);
         double share = (use.own.sum(now) - own + 1) / (known + reporting);
         double rise = (asked + SCATTER) / (usual * Math.max(share, 1.0 / reporting) + SCATTER);
         return Math.max(own, usual * rise);
@@ -298,7 +298,7 @@
      * @param takenNanos when it was counted
      */
     public void giveBack(long now, OrganisationName organisation, long takenNanos) {
-        use(now, organisation).own.takeBack(now, takenNanos);
+        use(now, organisation).own.remove(now, takenNanos);
     }
 
     /**
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
@@ -192,7 +192,7 @@
      * @param now the monotonic time
      * @param newest the load
      */
-    public void told(long now, LoadReport newest) {
+    public void receiveLoad(long now, LoadReport newest) {
         directLoadNanos = now;
         updateLoad(newest);
     }
@@ -204,7 +204,7 @@
      * @param now the monotonic time
      * @param relayed the load
      */
-    public void toldByOthers(long now, LoadReport relayed) {
+    public void receiveRelayedLoad(long now, LoadReport relayed) {
         if (now - directLoadNanos >= DIRECT_LOAD_VALIDITY_NANOS) {
             updateLoad(relayed);
         }
@@ -220,7 +220,7 @@
      *
      * @param seconds the mean, 0 while unknown
      */
-    public void works(double seconds) {
+    public void receiveWorkSeconds(double seconds) {
         workSeconds = seconds;
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyGate.java
@@ -108,7 +108,7 @@
     public void limit(long now, int published) {
         if (published != slots) {
             slots = published;
-            renewed(now);
+            copyRestarted(now);
         }
     }
 
@@ -117,7 +117,7 @@
      *
      * @param now the monotonic time
      */
-    public void renewed(long now) {
+    public void copyRestarted(long now) {
         limit = Math.max(1, slots);
         nearFull.reset(now, slots);
         workTime.reset();
@@ -177,7 +177,7 @@
      * @param run the request
      * @return whether the queue of suspects had room for it
      */
-    public boolean hold(LocalRun run) {
+    public boolean enqueueSuspect(LocalRun run) {
         if (suspects.waiting().size() >= Math.max(MINIMUM_QUEUE_LENGTH, slots * QUEUED_PER_SLOT)) {
             return false;
         }
@@ -191,7 +191,7 @@
      *
      * @param nanos the monotonic time
      */
-    public void settleSuspectsUntil(long nanos) {
+    public void delaySuspectsUntil(long nanos) {
         suspects.delayUntil(nanos);
     }
 
@@ -200,7 +200,7 @@
      *
      * @param run the request
      */
-    public void join(LocalRun run) {
+    public void suspectRunning(LocalRun run) {
         suspects.join(run);
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyTable.java
@@ -35,7 +35,7 @@
      *
      * @param services the services that the configuration in force names
      */
-    public void named(Set<ServiceName> services) {
+    public void setConfiguredServices(Set<ServiceName> services) {
         configuredServices = Optional.of(services);
         rebuild();
     }
@@ -204,7 +204,7 @@
      *
      * @return a view of the copies
      */
-    public Collection<Copy> withUnnamed() {
+    public Collection<Copy> allIncludingUnconfigured() {
         return Collections.unmodifiableCollection(byKey.values());
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/EntryPlan.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/EntryPlan.java
@@ -144,7 +144,7 @@
      * @param route its route
      * @param times the slot time that it took at each service, including all of its calls
      */
-    public void learn(String route, List<SlotTime> times) {
+    public void addCost(String route, List<SlotTime> times) {
         costs.addCompleted(route, times);
     }
 
@@ -154,7 +154,7 @@
      * @param route its route
      * @param times the slot time that it took at each service until it failed
      */
-    public void learnLeast(String route, List<SlotTime> times) {
+    public void addMinimumCost(String route, List<SlotTime> times) {
         costs.addMinimum(route, times);
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/ChangeLog.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/ChangeLog.java
@@ -39,7 +39,7 @@
      *
      * @param key the entry's key
      */
-    public void forget(String key) {
+    public void discard(String key) {
         Change change = changes.remove(key);
         if (change != null) {
             discardedPosition = Math.max(discardedPosition, change.position());
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/Eras.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/Eras.java
@@ -13,9 +13,9 @@
 public final class Eras {
 
     /** The era of a platform that has reported none. */
-    public static final long NOT_TOLD = 0;
+    public static final long NOT_REPORTED = 0;
 
-    private long current = NOT_TOLD;
+    private long current = NOT_REPORTED;
     private boolean known;
     private boolean knownToOthers;
     private boolean readable = true;
@@ -60,20 +60,20 @@
     /**
      * Takes in the era of another node's state.
      *
-     * @param era the era; {@link #NOT_TOLD} if the platform reported none to that node
+     * @param era the era; {@link #NOT_REPORTED} if the platform reported none to that node
      */
-    public void heard(long era) {
-        knownToOthers |= era != NOT_TOLD;
+    public void receiveFromNode(long era) {
+        knownToOthers |= era != NOT_REPORTED;
     }
 
     /**
      * Returns the era of the last answer.
      *
-     * @return the era; {@link Revision#UNKNOWN_ERA} if it had none and other answers had one, {@link #NOT_TOLD} if none
+     * @return the era; {@link Revision#UNKNOWN_ERA} if it had none and other answers had one, {@link #NOT_REPORTED} if none
      *     ever had
      */
     public long current() {
-        return isLost() ? Revision.UNKNOWN_ERA : current;
+        return isUnreadable() ? Revision.UNKNOWN_ERA : current;
     }
 
     /**
@@ -82,7 +82,7 @@
      *
      * @return whether the era has become unreadable
      */
-    public boolean isLost() {
+    public boolean isUnreadable() {
         return (known || knownToOthers) && !readable;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/PlatformReads.java
@@ -108,7 +108,7 @@
      * @param now the monotonic time
      * @param isReader whether it is
      */
-    public void reader(long now, boolean isReader) {
+    public void setReader(long now, boolean isReader) {
         if (assignedReader == isReader) {
             return;
         }
@@ -147,7 +147,7 @@
      *
      * @param now the monotonic time
      */
-    public void told(long now) {
+    public void stateReceived(long now) {
         if (!stateKnown && !readable && !failing) {
             nextNanos = now + STATE_RECEIVED_PAUSE.toNanos();
         }
@@ -159,7 +159,7 @@
      *
      * @param now the monotonic time
      */
-    public void everythingAt(long now) {
+    public void scheduleCompleteRead(long now) {
         everything = true;
         nextNanos = now;
     }
@@ -169,7 +169,7 @@
      *
      * @param always whether each read is complete
      */
-    public void everythingEachTime(boolean always) {
+    public void setCompleteReads(boolean always) {
         incremental = !always;
     }
 
@@ -187,7 +187,7 @@
      *
      * @param now the monotonic time
      */
-    public void everythingOnceTrusted(long now) {
+    public void scheduleCompleteReadOnceTrusted(long now) {
         if (now < trustedNanos) {
             completeReadNanos = trustedNanos;
         }
@@ -201,7 +201,7 @@
     public void passTime(long now) {
         if (now >= completeReadNanos) {
             completeReadNanos = NEVER;
-            everythingAt(now);
+            scheduleCompleteRead(now);
         }
     }
 
@@ -212,7 +212,7 @@
      * @param now the monotonic time
      * @return whether it is
      */
-    public boolean trustsWhatIsShown(long now) {
+    public boolean isStateTrusted(long now) {
         return now >= trustedNanos;
     }
 
@@ -221,7 +221,7 @@
      *
      * @param now the monotonic time
      */
-    public void othersFail(long now) {
+    public void otherNodeFailed(long now) {
         othersFailedNanos = now;
     }
 
@@ -351,7 +351,7 @@
      * @param now the monotonic time
      * @return the monotonic time, not after {@code now} if a missing entry is gone
      */
-    public long returnsUntilNanos(long now) {
+    public long reappearanceDeadlineNanos(long now) {
         if (!readable) {
             return now + RETURN_GRACE.toNanos();
         }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/PublishedEntries.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/PublishedEntries.java
@@ -85,7 +85,7 @@
      * @param shown the listed entries
      * @return whether this node still takes one of them for removed
      */
-    public boolean contradicts(List<KnownEntry> shown) {
+    public boolean listsRemovedEntry(List<KnownEntry> shown) {
         return shown.stream()
                 .map(entry -> entries.get(entry.key()))
                 .anyMatch(known -> known != null && known.isRemoved());
@@ -116,7 +116,7 @@
      * @param given the entries
      * @return the entries that replace known ones, including removed ones
      */
-    public List<KnownEntry> mergeTold(Revision upTo, boolean complete, List<KnownEntry> given) {
+    public List<KnownEntry> mergeReceived(Revision upTo, boolean complete, List<KnownEntry> given) {
         List<KnownEntry> newer = new ArrayList<>();
         for (KnownEntry entry : given) {
             if (entries.containsKey(entry.key()) || !isDiscarded(entry.revision())) {
@@ -217,7 +217,7 @@
      * @param now the monotonic time
      * @return the keys of the discarded entries
      */
-    public List<String> forgetRemoved(long now) {
+    public List<String> discardRemoved(long now) {
         removedNanos.replaceAll((_, since) -> since == NOT_TIMED ? now : since);
         List<String> old = removedNanos.entrySet().stream()
                 .filter(removed -> now - removed.getValue() > REMOVAL_RETENTION.toNanos())
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Suspect.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Suspect.java
@@ -151,13 +151,13 @@
         return isOpen() && isCause() && now < quarantinedUntilNanos;
     }
 
-    Standing standing(long now) {
+    SuspicionState suspicionState(long now) {
         if (!isOpen()) {
-            return new Standing.Clear();
+            return new SuspicionState.Clear();
         }
         return isQuarantined(now)
-                ? new Standing.Quarantined(fingerprint, openCrashes, quarantinedUntilNanos - now)
-                : new Standing.Suspected(fingerprint, openCrashes);
+                ? new SuspicionState.Quarantined(fingerprint, openCrashes, quarantinedUntilNanos - now)
+                : new SuspicionState.Suspected(fingerprint, openCrashes);
     }
 
     boolean isExpired(long now) {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/SuspectTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/SuspectTable.java
@@ -146,7 +146,7 @@
      * @param now the monotonic time
      * @return how many suspected requests were removed
      */
-    public int forget(long now) {
+    public int removeExpired(long now) {
         int before = size();
         suspects.values().removeIf(suspect -> suspect.isExpired(now));
         isCurrent = false;
@@ -160,10 +160,10 @@
      * @param fingerprint the request's fingerprint
      * @return the standing
      */
-    public Standing standing(long now, Fingerprint fingerprint) {
+    public SuspicionState suspicionState(long now, Fingerprint fingerprint) {
         recompute();
         Suspect suspect = suspects.get(fingerprint);
-        return suspect == null ? new Standing.Clear() : suspect.standing(now);
+        return suspect == null ? new SuspicionState.Clear() : suspect.suspicionState(now);
     }
 
     /**
@@ -227,7 +227,7 @@
      * @param received the state
      * @return whether any of it was new
      */
-    public boolean join(long now, ServiceName service, Suspicion received) {
+    public boolean merge(long now, ServiceName service, Suspicion received) {
         boolean news = suspect(now, service, received.fingerprint()).merge(now, received);
         received.crashes().forEach(start -> recordCrash(now, service, start));
         received.witnessed().forEach(start -> recordCrash(now, service, start));
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/Standing.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/SuspicionState.java
@@ -3,10 +3,10 @@
 import org.carawaysill.model.request.Fingerprint;
 
 /** Whether a request is suspected or quarantined, as known when it arrives. Immutable and thread safe. */
-public sealed interface Standing {
+public sealed interface SuspicionState {
 
     /** No copy crashed while it ran the request, or a copy has answered it since. */
-    record Clear() implements Standing {}
+    record Clear() implements SuspicionState {}
 
     /**
      * Copies crashed while they ran the request together with others.
@@ -14,7 +14,7 @@
      * @param fingerprint the request's fingerprint
      * @param crashes the number of crashes
      */
-    record Suspected(Fingerprint fingerprint, int crashes) implements Standing {
+    record Suspected(Fingerprint fingerprint, int crashes) implements SuspicionState {
 
         /**
          * Returns whether the request must run alone, because one more crash of a copy that runs it and another suspect
@@ -34,5 +34,5 @@
      * @param crashes the number of crashes
      * @param remainingNanos for how much longer it is refused
      */
-    record Quarantined(Fingerprint fingerprint, int crashes, long remainingNanos) implements Standing {}
+    record Quarantined(Fingerprint fingerprint, int crashes, long remainingNanos) implements SuspicionState {}
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/retry/RetryAllowance.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/retry/RetryAllowance.java
@@ -64,7 +64,7 @@
      * @param now the monotonic time
      * @param service the service that receives it
      */
-    public void first(long now, ServiceName service) {
+    public void countFirstAttempt(long now, ServiceName service) {
         window(now, service).firstAttempts().add(now);
     }
 
@@ -75,7 +75,7 @@
      * @param service the service that would receive it
      * @return whether a retry was left
      */
-    public boolean take(long now, ServiceName service) {
+    public boolean takeRetry(long now, ServiceName service) {
         Window window = window(now, service);
         double allowed = settings.extra() * PLANNED_PART / nodes
                 + settings.ratio() * PLANNED_PART * window.firstAttempts().sum(now);
--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/Group.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/ReportAggregator.java
@@ -13,7 +13,7 @@
  *
  * <p>Any node that receives such reports aggregates them, without an election. Not thread safe: owned by the policy.
  */
-public final class Group {
+public final class ReportAggregator {
 
     /**
      * A node that has not reported for this long is omitted from the summary, and receives no requests from nodes that
--- a/policy/src/main/java/org/carawaysill/policy/fleet/summary/Summaries.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/summary/Summaries.java
@@ -32,7 +32,7 @@
      * @param sender the aggregator
      * @param summary the summary
      */
-    public void told(long now, NodeName sender, StateSummary summary) {
+    public void receive(long now, NodeName sender, StateSummary summary) {
         bySender.put(now, sender, summary);
     }
 
@@ -91,7 +91,7 @@
      * @param summaries the summaries, the latest last; no node's demand is in two of them
      * @return the merged summary
      */
-    public static StateSummary join(PublishedState published, List<StateSummary> summaries) {
+    public static StateSummary merge(PublishedState published, List<StateSummary> summaries) {
         RouteSums sums = new RouteSums();
         UseSums uses = new UseSums();
         summaries.forEach(summary -> {
--- a/policy/src/main/java/org/carawaysill/policy/message/PeerMessage.java
+++ b/policy/src/main/java/org/carawaysill/policy/message/PeerMessage.java
@@ -392,18 +392,20 @@
          * @param inSameZone whether the receiver is in the sender's availability zone
          * @return the shorter report
          */
-        public NodeReport toBeKnown(boolean inSameZone) {
+        public NodeReport withoutDemands(boolean inSameZone) {
             return with(inSameZone, false, List.of(), List.of(), List.of());
         }
 
         /**
          * Returns the report for an aggregator of the sender's availability zone.
          *
-         * @param whole whether the receiver adds up demands, costs and uses; otherwise they are left out
+         * @param withDemands whether the receiver adds up demands, costs and uses; otherwise they are left out
          * @return the report
          */
-        public NodeReport toBeSummed(boolean whole) {
-            return whole ? with(true, true, demands, costs, uses) : with(true, true, List.of(), List.of(), List.of());
+        public NodeReport forAggregator(boolean withDemands) {
+            return withDemands
+                    ? with(true, true, demands, costs, uses)
+                    : with(true, true, List.of(), List.of(), List.of());
         }
 
         private NodeReport with(
--- a/policy/src/main/java/org/carawaysill/policy/routing/CopySelector.java
+++ b/policy/src/main/java/org/carawaysill/policy/routing/CopySelector.java
@@ -53,7 +53,7 @@
      * @param now nanoseconds on the monotonic clock
      * @param configuration the service's configuration
      */
-    public void roster(long now, ServiceConfiguration configuration) {
+    public void updateRoster(long now, ServiceConfiguration configuration) {
         boolean own = configuration.copy(self).isPresent();
         List<CopyEntry> chosen = own ? configuration.copies() : CopySubset.choose(self, configuration, settings);
         subsets.put(configuration.service(), chosen);
@@ -63,7 +63,7 @@
                             _ -> new CopyState(settings, copy.zone().equals(zone), copy.slots()))
                     .setSlots(copy.slots());
         }
-        copies.keySet().retainAll(wanted().stream().map(CopyEntry::node).collect(Collectors.toSet()));
+        copies.keySet().retainAll(selectedCopies().stream().map(CopyEntry::node).collect(Collectors.toSet()));
     }
 
     /**
@@ -170,7 +170,7 @@
      * @param now nanoseconds on the monotonic clock
      * @param node the node to which it was sent
      */
-    public void withdrawn(long now, NodeName node) {
+    public void cancelled(long now, NodeName node) {
         state(node).ifPresent(CopyState::released);
     }
 
@@ -181,7 +181,7 @@
      * @param node the node
      * @param load its load
      */
-    public void heard(long now, NodeName node, LoadReport load) {
+    public void loadReported(long now, NodeName node, LoadReport load) {
         state(node).ifPresent(copy -> copy.report(now, load));
     }
 
@@ -192,7 +192,7 @@
      * @param node the node
      * @param mayGetNewWork whether it may
      */
-    public void usable(long now, NodeName node, boolean mayGetNewWork) {
+    public void setUsable(long now, NodeName node, boolean mayGetNewWork) {
         state(node).ifPresent(copy -> copy.setUsable(now, mayGetNewWork));
     }
 
@@ -206,7 +206,7 @@
      *
      * @return their roster entries
      */
-    public List<CopyEntry> wanted() {
+    public List<CopyEntry> selectedCopies() {
         return subsets.values().stream().flatMap(List::stream).toList();
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/time/SlidingCount.java
+++ b/policy/src/main/java/org/carawaysill/policy/time/SlidingCount.java
@@ -57,7 +57,7 @@
      * @param now the monotonic time
      * @param countedNanos when it was counted
      */
-    public void takeBack(long now, long countedNanos) {
+    public void remove(long now, long countedNanos) {
         advanceTo(now);
         long counted = Math.floorDiv(countedNanos, intervalNanos);
         if (currentInterval - counted < counts.length && counts[index(counted)] > 0) {
@@ -84,7 +84,7 @@
      * @param fromNanos the time
      * @return the count
      */
-    public int since(long now, long fromNanos) {
+    public int countSince(long now, long fromNanos) {
         advanceTo(now);
         long first = Math.max(Math.floorDiv(fromNanos, intervalNanos), currentInterval - counts.length + 1);
         int recent = 0;
--- a/policy/src/test/java/org/carawaysill/policy/distribution/VirtualFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/VirtualFleet.java
@@ -192,7 +192,7 @@
                     read.service(),
                     read.knownVersion(),
                     event -> at(now + 2 * MILLISECOND, () -> deliver(node, event)));
-            at(now + read.patience().toNanos(), end);
+            at(now + read.maximumWait().toNanos(), end);
         } else if (effect instanceof Effect.ReadVmList) {
             VmList list =
                     new VmList(names.keySet().stream().collect(Collectors.toMap(name -> name, _ -> VmState.LIVE)));
--- a/policy/src/test/java/org/carawaysill/policy/distribution/VirtualNode.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/VirtualNode.java
@@ -54,8 +54,8 @@
         if (distribution.revision() != revision) {
             revision = distribution.revision();
             List<ServiceConfiguration> rosters = newestRosters();
-            rosters.forEach(roster -> selector.roster(now.nanos(), roster));
-            effects.addAll(membership.watch(rosters.getFirst().copies(), selector.wanted()));
+            rosters.forEach(roster -> selector.updateRoster(now.nanos(), roster));
+            effects.addAll(membership.watch(rosters.getFirst().copies(), selector.selectedCopies()));
         }
         return effects;
     }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/FleetPolicyTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/FleetPolicyTest.java
@@ -119,8 +119,8 @@
                     .getFirst();
             List<VirtualNode> back = service("back", 2, 2, 50, Map.of("/deep/", new Work(5 * MILLI, List.of())));
             fleet.runUntil(5 * SECOND);
-            fleet.at(5 * SECOND, () -> back.get(0).deliver(new FleetEvent.StopOrdered()));
-            fleet.at(5 * SECOND + 800 * MILLI, () -> back.get(1).deliver(new FleetEvent.StopOrdered()));
+            fleet.at(5 * SECOND, () -> back.get(0).deliver(new FleetEvent.StopRequested()));
+            fleet.at(5 * SECOND + 800 * MILLI, () -> back.get(1).deliver(new FleetEvent.StopRequested()));
             int sent = 200;
             for (int i = 0; i < sent; i++) {
                 String name = "r" + i;
@@ -144,7 +144,7 @@
                 send(nodes.getFirst(), "r" + i, "/entry/");
             }
             fleet.runUntil(3 * SECOND + 50 * MILLI);
-            nodes.getFirst().deliver(new FleetEvent.StopOrdered());
+            nodes.getFirst().deliver(new FleetEvent.StopRequested());
             assertFalse(nodes.getFirst().ready);
             fleet.runUntil(7 * SECOND);
             assertEquals(6, good("r"));
--- a/policy/src/test/java/org/carawaysill/policy/fleet/LapsedNodesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/LapsedNodesTest.java
@@ -21,7 +21,7 @@
     private final LapsedNodes lapsed = new LapsedNodes();
 
     private void publishAndRemove(String host, boolean draining) {
-        copies.named(Set.of(new ServiceName("front")));
+        copies.setConfiguredServices(Set.of(new ServiceName("front")));
         CopyRecord record = new CopyRecord(
                 new CopyName(host),
                 0,
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PlannedStopTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PlannedStopTest.java
@@ -82,7 +82,7 @@
             node.silent = true;
             fleet.send(node, "long", "/front/", 30 * SECOND, (_, _) -> {});
             fleet.runUntil(ordered);
-            node.deliver(new FleetEvent.StopOrdered());
+            node.deliver(new FleetEvent.StopRequested());
             return node;
         }
 
@@ -133,7 +133,7 @@
             node("back", "10.1.2.1");
             fleet.at(ORDERED, () -> {
                 node.stopWithin(Duration.ofSeconds(limitSeconds));
-                node.deliver(new FleetEvent.StopOrdered());
+                node.deliver(new FleetEvent.StopRequested());
             });
             for (int i = 0; i < 440; i++) {
                 String name = "r" + i;
@@ -167,7 +167,7 @@
             other = node("front", "10.1.1.1");
             stopping = node("back", "10.1.2.1");
             fleet.runUntil(3 * SECOND);
-            stopping.deliver(new FleetEvent.StopOrdered());
+            stopping.deliver(new FleetEvent.StopRequested());
             fleet.runUntil(STOPPED);
             assertTrue(stopping.stopped);
         }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/Routes.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/Routes.java
@@ -46,7 +46,7 @@
                 route.idempotent(),
                 route.timeout(),
                 route.maximumAttempts(),
-                route.aim(),
+                route.targetLatency(),
                 route.rank(),
                 false);
     }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/VirtualFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/VirtualFleet.java
@@ -455,7 +455,7 @@
 
         private void apply(FleetEffect effect) {
             switch (effect) {
-                case FleetEffect.HandToCopy hand -> runAtCopy(hand);
+                case FleetEffect.SendToCopy hand -> runAtCopy(hand);
                 case FleetEffect.CancelAtCopy cancel -> atCopy.remove(cancel.attempt());
                 case FleetEffect.AnswerExchange answer -> {
                     BiConsumer<Long, Outcome> receiver = receivers.remove(answer.exchange());
@@ -474,10 +474,10 @@
                 case FleetEffect.StopProcess _ -> stopped = true;
                 case FleetEffect.ResetPeer reset -> reset(reset.peer());
                 case FleetEffect.Count _,
-                        FleetEffect.CloseIdleAtCopy _,
+                        FleetEffect.CloseIdleCopyConnections _,
                         FleetEffect.ShowSuspects _,
                         FleetEffect.DisconnectPeer _,
-                        FleetEffect.LimitClients _ -> {}
+                        FleetEffect.ApplyClientLimits _ -> {}
             }
         }
 
@@ -574,7 +574,7 @@
                     new RequestContent("GET", path, List.of(), Body.EMPTY)));
         }
 
-        private void runAtCopy(FleetEffect.HandToCopy hand) {
+        private void runAtCopy(FleetEffect.SendToCopy hand) {
             if (!copyRuns) {
                 at(now, () -> deliver(new FleetEvent.CopyAnswered(hand.attempt(), Outcomes.UNREACHABLE)));
                 return;
@@ -592,7 +592,7 @@
             }
         }
 
-        private void work(FleetEffect.HandToCopy hand) {
+        private void work(FleetEffect.SendToCopy hand) {
             String path = hand.content().path();
             crashingRequest
                     .filter(of -> path.startsWith(of.prefix()))
@@ -610,7 +610,7 @@
             return path.substring(0, path.indexOf('/', 1) + 1);
         }
 
-        private void call(FleetEffect.HandToCopy hand, Work work, int index) {
+        private void call(FleetEffect.SendToCopy hand, Work work, int index) {
             if (!atCopy.contains(hand.attempt())) {
                 return;
             }
@@ -631,7 +631,7 @@
             });
         }
 
-        private void answer(FleetEffect.HandToCopy hand, Outcome made) {
+        private void answer(FleetEffect.SendToCopy hand, Outcome made) {
             if (!atCopy.remove(hand.attempt())) {
                 return;
             }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceMethod.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceMethod.java
@@ -50,7 +50,7 @@
 
         @Override
         public void receive(long now, int sum, int ofNodes) {
-            allowances.told(now, List.of(new OrganisationUse(organisation.name(), sum)), ofNodes);
+            allowances.receiveUse(now, List.of(new OrganisationUse(organisation.name(), sum)), ofNodes);
         }
     }
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceTrial.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/allowance/AllowanceTrial.java
@@ -234,7 +234,7 @@
 
     /** Returns the maximum that was admitted within any window, as a part of what the bound allows. */
     double worstOfBound() {
-        return worst / BOUNDS.most(allowance);
+        return worst / BOUNDS.maximum(allowance);
     }
 
     /** Returns the refused part of the requests that should be admitted. */
--- a/policy/src/test/java/org/carawaysill/policy/fleet/allowance/FleetAllowancesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/allowance/FleetAllowancesTest.java
@@ -146,7 +146,7 @@
 
         private void reportUse(long now, int admitted, int ofNodes) {
             allowances.nodes(10);
-            allowances.told(now, List.of(new OrganisationUse(agents.name(), admitted)), ofNodes);
+            allowances.receiveUse(now, List.of(new OrganisationUse(agents.name(), admitted)), ofNodes);
         }
 
         @Test
--- a/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyChoiceTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyChoiceTest.java
@@ -39,8 +39,8 @@
                 false,
                 Duration.ZERO);
         Copy copy = new Copy(record, 0, new Revision(0, copies.size()));
-        copy.told(0, new LoadReport(inFlight, SLOTS, 0, 0));
-        copy.works(workSeconds);
+        copy.receiveLoad(0, new LoadReport(inFlight, SLOTS, 0, 0));
+        copy.receiveWorkSeconds(workSeconds);
         copies.add(copy);
     }
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyTableTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/copy/CopyTableTest.java
@@ -130,7 +130,7 @@
         void thatAreNotNamedHaveNoCopies() {
             put(0, "a", record("a", DEEP, "10.0.0.1", false), 0);
             put(5, "b", record("b", OTHER, "10.0.0.1", false), 5);
-            table.named(Set.of(DEEP));
+            table.setConfiguredServices(Set.of(DEEP));
             assertEquals(List.of("a"), usable(DEEP));
             assertEquals(List.of(), usable(OTHER));
             assertEquals(
@@ -144,9 +144,9 @@
 
         @Test
         void thatAreNamedLaterHaveTheirCopiesThen() {
-            table.named(Set.of(DEEP));
+            table.setConfiguredServices(Set.of(DEEP));
             put(5, "b", record("b", OTHER, "10.0.0.2", false), 5);
-            table.named(Set.of(DEEP, OTHER));
+            table.setConfiguredServices(Set.of(DEEP, OTHER));
             assertEquals(List.of("b"), usable(OTHER));
         }
     }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/entry/EntryPlanTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/entry/EntryPlanTest.java
@@ -80,7 +80,7 @@
          */
         @Test
         void areLearnedFromRequestsThatFail() {
-            plan.learnLeast(LOOKUP, took(0.1f));
+            plan.addMinimumCost(LOOKUP, took(0.1f));
             report(300, 0);
             // Nine tenths of the slots serve 90 lookups a second.
             assertEquals(0.3, share(LOOKUP), 0.07);
@@ -92,9 +92,9 @@
 
         @Test
         void areNotLoweredByRequestsThatFailEarly() {
-            plan.learn(LOOKUP, took(0.1f));
+            plan.addCost(LOOKUP, took(0.1f));
             for (int i = 0; i < 1000; i++) {
-                plan.learnLeast(LOOKUP, took(0.01f));
+                plan.addMinimumCost(LOOKUP, took(0.01f));
             }
             report(300, 0);
             assertTrue(share(LOOKUP) < 0.4, () -> "share " + share(LOOKUP));
@@ -102,9 +102,9 @@
 
         @Test
         void followWholeRequests() {
-            plan.learnLeast(LOOKUP, took(1f));
+            plan.addMinimumCost(LOOKUP, took(1f));
             for (int i = 0; i < 200; i++) {
-                plan.learn(LOOKUP, took(0.01f));
+                plan.addCost(LOOKUP, took(0.01f));
             }
             report(300, 300);
             assertEquals(1, share(LOOKUP), 0.001);
@@ -165,11 +165,11 @@
          */
         @Test
         void areForgottenWhereNoRequestHasThemAnyMore() {
-            plan.learn(LOOKUP, List.of(new SlotTime(DEEP, 0.01f), new SlotTime(FORMER, 0.01f)));
+            plan.addCost(LOOKUP, List.of(new SlotTime(DEEP, 0.01f), new SlotTime(FORMER, 0.01f)));
             report(100, 100);
             assertEquals(0, share(LOOKUP), 0.001, "its service has no copies");
             for (int i = 0; i < 100; i++) {
-                plan.learn(LOOKUP, took(0.01f));
+                plan.addCost(LOOKUP, took(0.01f));
             }
             report(100, 100);
             assertEquals(1, share(LOOKUP), 0.001);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/ChangeLogTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/ChangeLogTest.java
@@ -49,7 +49,7 @@
             changes.changed("b", at(9));
             assertTrue(changes.remembers(0));
             assertTrue(changes.remembers(at(3)));
-            changes.forget("a");
+            changes.discard("a");
             assertFalse(changes.remembers(0));
             assertTrue(changes.remembers(1));
             assertFalse(changes.remembers(at(3)));
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/ErasTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/ErasTest.java
@@ -52,9 +52,9 @@
             assertEquals(Change.BECAME_UNREADABLE, eras.receive(OptionalLong.empty()));
             assertEquals(Change.STAYS_UNREADABLE, eras.receive(OptionalLong.empty()));
             assertEquals(Revision.UNKNOWN_ERA, eras.current());
-            assertTrue(eras.isLost());
+            assertTrue(eras.isUnreadable());
             assertEquals(Change.BEGAN, receive(5));
-            assertFalse(eras.isLost());
+            assertFalse(eras.isUnreadable());
         }
 
         /*
@@ -63,17 +63,17 @@
          */
         @Test
         void areALossWhereOthersWereToldOne() {
-            eras.heard(4);
+            eras.receiveFromNode(4);
             eras.receive(OptionalLong.empty());
-            assertTrue(eras.isLost());
+            assertTrue(eras.isUnreadable());
             assertEquals(Revision.UNKNOWN_ERA, eras.current());
         }
 
         @Test
         void areNoLossWhereThePlatformNeverToldOne() {
             assertEquals(Change.BECAME_UNREADABLE, eras.receive(OptionalLong.empty()));
-            assertFalse(eras.isLost());
-            assertEquals(Eras.NOT_TOLD, eras.current());
+            assertFalse(eras.isUnreadable());
+            assertEquals(Eras.NOT_REPORTED, eras.current());
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/PlatformReadsTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/PlatformReadsTest.java
@@ -39,10 +39,10 @@
          */
         @Test
         void waitsWhereOthersHaveToldAndReadsNeverUnlessItIsAReader() {
-            reads.told(SECOND / 100);
+            reads.stateReceived(SECOND / 100);
             assertTrue(reads.dueNanos() > SECOND / 2);
-            reads.reader(SECOND / 10, true);
-            reads.reader(SECOND / 5, false);
+            reads.setReader(SECOND / 10, true);
+            reads.setReader(SECOND / 5, false);
             assertEquals(NEVER, reads.dueNanos());
         }
     }
@@ -52,10 +52,10 @@
 
         @Test
         void readsAtOnceAndEverything() {
-            reads.told(SECOND);
-            reads.reader(SECOND, true);
-            reads.reader(2 * SECOND, false);
-            reads.reader(9 * SECOND, true);
+            reads.stateReceived(SECOND);
+            reads.setReader(SECOND, true);
+            reads.setReader(2 * SECOND, false);
+            reads.setReader(9 * SECOND, true);
             assertEquals(9 * SECOND, reads.dueNanos());
             assertEquals(
                     OptionalLong.empty(), reads.start(9 * SECOND, Revision.NONE).after());
@@ -68,28 +68,28 @@
          */
         @Test
         void waitsForEntriesThatMayComeBackWhereOthersFailed() {
-            reads.told(SECOND);
-            reads.reader(SECOND, true);
-            reads.othersFail(8 * SECOND);
+            reads.stateReceived(SECOND);
+            reads.setReader(SECOND, true);
+            reads.otherNodeFailed(8 * SECOND);
             read(9 * SECOND);
-            assertTrue(reads.returnsUntilNanos(9 * SECOND) > 11 * SECOND);
+            assertTrue(reads.reappearanceDeadlineNanos(9 * SECOND) > 11 * SECOND);
         }
 
         @Test
         void takesAMissingEntryForGoneWhereNobodyFailed() {
-            reads.reader(SECOND, true);
+            reads.setReader(SECOND, true);
             read(9 * SECOND);
-            assertTrue(reads.returnsUntilNanos(9 * SECOND) <= 9 * SECOND);
+            assertTrue(reads.reappearanceDeadlineNanos(9 * SECOND) <= 9 * SECOND);
         }
 
         /** A node that the platform rejects must not delay what a reader without gaps reports. */
         @Test
         void trustsAReaderWithoutAGapWhereOthersFail() {
-            reads.reader(0, true);
+            reads.setReader(0, true);
             read(SECOND);
-            reads.othersFail(SECOND);
+            reads.otherNodeFailed(SECOND);
             read(SECOND + SECOND / 2);
-            assertTrue(reads.returnsUntilNanos(2 * SECOND) <= 2 * SECOND);
+            assertTrue(reads.reappearanceDeadlineNanos(2 * SECOND) <= 2 * SECOND);
         }
     }
 
@@ -98,7 +98,7 @@
 
         @Test
         void ofANodeThatDoesNotReadForOthersIsTriedAgainAfterSeconds() {
-            reads.told(0);
+            reads.stateReceived(0);
             reads.start(0, KNOWN);
             assertTrue(reads.failed(0, ReadFailure.REFUSED));
             assertTrue(!reads.mayRead());
@@ -107,7 +107,7 @@
 
         @Test
         void ofAReaderIsTriedAgainSoon() {
-            reads.reader(0, true);
+            reads.setReader(0, true);
             reads.start(0, KNOWN);
             reads.failed(0, ReadFailure.TIMEOUT);
             assertTrue(reads.dueNanos() < SECOND / 2);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/publication/PublishedEntriesTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/publication/PublishedEntriesTest.java
@@ -43,8 +43,8 @@
         @Test
         void keepsTheNewerWhoeverTellsIt() {
             entries.mergeAll(at(5), true, List.of(written("a", 5)));
-            assertEquals(List.of(), entries.mergeTold(at(0), false, List.of(written("a", 4))));
-            assertEquals(List.of(written("a", 7)), entries.mergeTold(at(0), false, List.of(written("a", 7))));
+            assertEquals(List.of(), entries.mergeReceived(at(0), false, List.of(written("a", 4))));
+            assertEquals(List.of(written("a", 7)), entries.mergeReceived(at(0), false, List.of(written("a", 7))));
             assertEquals(List.of(), entries.mergeChanges(at(6), List.of(written("a", 6))));
         }
 
@@ -56,7 +56,7 @@
 
         @Test
         void doesNotTakeForRemovedWhatWasWrittenAfterTheRead() {
-            entries.mergeTold(at(0), false, List.of(written("a", 12)));
+            entries.mergeReceived(at(0), false, List.of(written("a", 12)));
             assertEquals(List.of(), entries.mergeAll(at(9), true, List.of()));
         }
 
@@ -69,21 +69,21 @@
         void takesNoEntryBackWhoseRemovalItForgot() {
             entries.mergeAll(at(5), true, List.of(written("a", 4), written("b", 5)));
             entries.mergeChanges(at(9), List.of(removed("a", 9)));
-            assertEquals(List.of(), entries.forgetRemoved(0));
-            assertEquals(List.of(), entries.forgetRemoved(Duration.ofMinutes(5).toNanos()));
+            assertEquals(List.of(), entries.discardRemoved(0));
+            assertEquals(List.of(), entries.discardRemoved(Duration.ofMinutes(5).toNanos()));
             assertEquals(
-                    List.of("a"), entries.forgetRemoved(Duration.ofMinutes(6).toNanos()));
+                    List.of("a"), entries.discardRemoved(Duration.ofMinutes(6).toNanos()));
             assertEquals(Optional.empty(), entries.find("a"));
             assertEquals(Optional.of(written("b", 5)), entries.find("b"));
-            assertEquals(List.of(), entries.mergeTold(at(0), false, List.of(written("a", 4))));
+            assertEquals(List.of(), entries.mergeReceived(at(0), false, List.of(written("a", 4))));
         }
 
         @Test
         void remembersWhatCameBackInTime() {
             entries.mergeAll(at(9), true, List.of(removed("a", 9)));
-            entries.forgetRemoved(0);
+            entries.discardRemoved(0);
             entries.mergeChanges(at(12), List.of(written("a", 12)));
-            assertEquals(List.of(), entries.forgetRemoved(Duration.ofMinutes(6).toNanos()));
+            assertEquals(List.of(), entries.discardRemoved(Duration.ofMinutes(6).toNanos()));
             assertEquals(Optional.of(written("a", 12)), entries.find("a"));
         }
 
@@ -95,7 +95,7 @@
         @Test
         void goesOnReadingFromWhereThePlatformStopped() {
             entries.mergeAll(at(5), true, List.of(written("a", 5)));
-            entries.mergeTold(at(0), false, List.of(written("b", 20)));
+            entries.mergeReceived(at(0), false, List.of(written("b", 20)));
             assertEquals(at(5), entries.asOf());
         }
     }
@@ -155,14 +155,14 @@
         void takeWhatOthersKnowFromBefore() {
             entries.mergeAll(RETURNED, false, List.of(copy(SHOWN, 3, Stage.PRESENT)));
             List<KnownEntry> received = List.of(copy(BEFORE, 4, Stage.LEAVING));
-            assertEquals(received, entries.mergeTold(BEFORE, false, received));
+            assertEquals(received, entries.mergeReceived(BEFORE, false, received));
         }
 
         /* Guards against a node that has not read yet and takes the older state for newer because of its era. */
         @Test
         void doNotTakeWhatOthersReadOfTheOlderCopy() {
             know(copy(BEFORE, 4, Stage.LEAVING));
-            assertEquals(List.of(), entries.mergeTold(SHOWN, false, List.of(copy(SHOWN, 3, Stage.PRESENT))));
+            assertEquals(List.of(), entries.mergeReceived(SHOWN, false, List.of(copy(SHOWN, 3, Stage.PRESENT))));
         }
 
         /* Guards against sending requests to a removed copy, and against never sending any to a running one. */
@@ -171,12 +171,12 @@
             know(copy(BEFORE, 4, Stage.REMOVED));
             List<KnownEntry> shown = List.of(copy(SHOWN, 3, Stage.PRESENT));
             assertEquals(List.of(), entries.mergeAll(RETURNED, false, shown));
-            assertTrue(entries.contradicts(shown));
+            assertTrue(entries.listsRemovedEntry(shown));
             List<KnownEntry> restored = entries.mergeAll(RETURNED, true, shown);
             assertEquals(1, restored.size());
             PublishedEntries others = new PublishedEntries();
-            others.mergeTold(BEFORE, false, List.of(copy(BEFORE, 4, Stage.REMOVED)));
-            assertEquals(restored, others.mergeTold(RETURNED, false, restored));
+            others.mergeReceived(BEFORE, false, List.of(copy(BEFORE, 4, Stage.REMOVED)));
+            assertEquals(restored, others.mergeReceived(RETURNED, false, restored));
         }
 
         /* Guards against taking changes of another era for a continuation, which misses what was written before. */
@@ -201,7 +201,7 @@
         PublishedEntries merged = new PublishedEntries();
         for (int revision : revisions) {
             String key = "key " + revision % 3;
-            merged.mergeTold(at(0), false, List.of(written(key, revision)));
+            merged.mergeReceived(at(0), false, List.of(written(key, revision)));
             newest.merge(key, (long) revision, Math::max);
         }
         Map<String, Long> known = new HashMap<>();
--- a/policy/src/test/java/org/carawaysill/policy/fleet/quarantine/SuspectTableTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/quarantine/SuspectTableTest.java
@@ -39,7 +39,7 @@
     }
 
     private boolean isClear(Fingerprint request) {
-        return table.standing(0, request) instanceof Standing.Clear;
+        return table.suspicionState(0, request) instanceof SuspicionState.Clear;
     }
 
     private static Fingerprint number(int number) {
@@ -60,7 +60,7 @@
             crash(10, CAUSE);
             crash(10, CAUSE);
             crash(11, CAUSE);
-            assertEquals(new Standing.Suspected(CAUSE, 2), table.standing(0, CAUSE));
+            assertEquals(new SuspicionState.Suspected(CAUSE, 2), table.suspicionState(0, CAUSE));
         }
 
         @Test
@@ -70,7 +70,7 @@
             assertTrue(isClear(CAUSE));
             assertTrue(table.isEmpty());
             crash(11, CAUSE);
-            assertEquals(new Standing.Suspected(CAUSE, 1), table.standing(0, CAUSE));
+            assertEquals(new SuspicionState.Suspected(CAUSE, 1), table.suspicionState(0, CAUSE));
         }
 
         /** A copy answers the request although it is quarantined: it was sent to the copy before. */
@@ -91,8 +91,9 @@
             crash(10, CAUSE);
             quarantineAfterCrash(CAUSE, 11);
             long end = Suspect.QUARANTINE.toNanos();
-            assertInstanceOf(Standing.Quarantined.class, table.standing(end - 1, CAUSE));
-            Standing.Suspected after = assertInstanceOf(Standing.Suspected.class, table.standing(end, CAUSE));
+            assertInstanceOf(SuspicionState.Quarantined.class, table.suspicionState(end - 1, CAUSE));
+            SuspicionState.Suspected after =
+                    assertInstanceOf(SuspicionState.Suspected.class, table.suspicionState(end, CAUSE));
             assertTrue(after.mustRunAlone());
         }
 
@@ -102,8 +103,8 @@
             crash(11, CAUSE);
             quarantineAfterCrash(CAUSE, 12);
             long later = Duration.ofDays(20).toNanos();
-            table.forget(later);
-            assertInstanceOf(Standing.Quarantined.class, table.standing(later, CAUSE));
+            table.removeExpired(later);
+            assertInstanceOf(SuspicionState.Quarantined.class, table.suspicionState(later, CAUSE));
         }
 
         /*
@@ -118,13 +119,13 @@
             table.witness(0, SERVICE, 11, number(3));
             assertTrue(isClear(number(3)));
             table.quarantine(0, OTHER);
-            assertInstanceOf(Standing.Quarantined.class, table.standing(0, OTHER));
+            assertInstanceOf(SuspicionState.Quarantined.class, table.suspicionState(0, OTHER));
             quarantineAfterCrash(CAUSE, 12);
             crash(13, number(3));
             quarantineAfterCrash(number(3), 14);
             assertTrue(isClear(OTHER));
-            assertInstanceOf(Standing.Quarantined.class, table.standing(0, CAUSE));
-            assertInstanceOf(Standing.Quarantined.class, table.standing(0, number(3)));
+            assertInstanceOf(SuspicionState.Quarantined.class, table.suspicionState(0, CAUSE));
+            assertInstanceOf(SuspicionState.Quarantined.class, table.suspicionState(0, number(3)));
         }
 
         @Test
@@ -160,14 +161,14 @@
             }
             assertTrue(table.size() <= SuspectTable.MAX_SUSPECTS, table.size() + " entries");
             assertTrue(table.size() > SuspectTable.MAX_SUSPECTS / 2, table.size() + " entries");
-            assertInstanceOf(Standing.Quarantined.class, table.standing(0, CAUSE));
+            assertInstanceOf(SuspicionState.Quarantined.class, table.suspicionState(0, CAUSE));
         }
 
         @Test
         void forgetWhatDoesNotComeAgain() {
             crash(10, CAUSE, OTHER);
-            assertEquals(0, table.forget(Suspect.SUSPICION_RETENTION.toNanos()));
-            assertEquals(2, table.forget(Suspect.SUSPICION_RETENTION.toNanos() + 1));
+            assertEquals(0, table.removeExpired(Suspect.SUSPICION_RETENTION.toNanos()));
+            assertEquals(2, table.removeExpired(Suspect.SUSPICION_RETENTION.toNanos() + 1));
             assertTrue(table.isEmpty());
         }
     }
@@ -190,9 +191,9 @@
         reports.addAll(List.copyOf(reports));
         Collections.shuffle(reports, random);
         SuspectTable second = new SuspectTable();
-        reports.forEach(report -> second.join(0, SERVICE, report));
+        reports.forEach(report -> second.merge(0, SERVICE, report));
         for (int i = 0; i < 5; i++) {
-            assertEquals(first.standing(0, number(i)), second.standing(0, number(i)));
+            assertEquals(first.suspicionState(0, number(i)), second.suspicionState(0, number(i)));
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/retry/RetryAllowanceTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/retry/RetryAllowanceTest.java
@@ -18,7 +18,7 @@
 
     private static int taken(RetryAllowance allowance, long now) {
         int taken = 0;
-        while (allowance.take(now, DEEP)) {
+        while (allowance.takeRetry(now, DEEP)) {
             taken++;
         }
         return taken;
@@ -39,7 +39,7 @@
                 RetryAllowance allowance = new RetryAllowance(BOUND);
                 allowance.nodes(nodes);
                 for (int i = 0; i < 100; i++) {
-                    allowance.first(i * 10 * MILLI, DEEP);
+                    allowance.countFirstAttempt(i * 10 * MILLI, DEEP);
                 }
                 retries += taken(allowance, 1000 * MILLI);
             }
@@ -61,7 +61,7 @@
             long[] times = new long[10_000];
             int count = 0;
             for (long now = 0; now < 60_000 * MILLI; now += 10 * MILLI) {
-                if (random.nextInt(4) == 0 && allowance.take(now, DEEP)) {
+                if (random.nextInt(4) == 0 && allowance.takeRetry(now, DEEP)) {
                     times[count++] = now;
                 }
             }
@@ -82,9 +82,9 @@
         @Test
         void applyFromTheNextRetry() {
             RetryAllowance allowance = new RetryAllowance(BOUND);
-            assertTrue(allowance.take(0, DEEP));
+            assertTrue(allowance.takeRetry(0, DEEP));
             allowance.settings(new RetrySettings(0, 0, Duration.ofSeconds(10)));
-            assertFalse(allowance.take(0, DEEP));
+            assertFalse(allowance.takeRetry(0, DEEP));
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/routing/Balancer.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/Balancer.java
@@ -125,16 +125,16 @@
             this.copies = copies;
             this.selector = new CopySelector(
                     new NodeName("caller-" + caller), VirtualCopies.zone(caller), random.split(), settings);
-            selector.roster(0, copies.roster(SERVICE));
+            selector.updateRoster(0, copies.roster(SERVICE));
             for (int i = 0; i < copies.count(); i++) {
-                selector.usable(0, VirtualCopies.name(i), copies.isUsable(i, 0));
+                selector.setUsable(0, VirtualCopies.name(i), copies.isUsable(i, 0));
             }
         }
 
         @Override
         int choose(long now) {
             for (int i = 0; i < copies.count(); i++) {
-                selector.usable(now, VirtualCopies.name(i), copies.isUsable(i, now));
+                selector.setUsable(now, VirtualCopies.name(i), copies.isUsable(i, now));
             }
             return VirtualCopies.index(
                     selector.choose(now, SERVICE, Set.of(), PRIORITY).orElseThrow());
@@ -152,7 +152,7 @@
 
         @Override
         void heard(long now, int copy, LoadReport load) {
-            selector.heard(now, VirtualCopies.name(copy), load);
+            selector.loadReported(now, VirtualCopies.name(copy), load);
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/routing/CopySelectorTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/CopySelectorTest.java
@@ -41,8 +41,8 @@
     @BeforeEach
     void threeUsableCopiesInThreeZones() {
         selector = selector("caller-1");
-        selector.roster(0, roster(3, 3));
-        IntStream.range(0, 3).forEach(i -> selector.usable(0, node(i), true));
+        selector.updateRoster(0, roster(3, 3));
+        IntStream.range(0, 3).forEach(i -> selector.setUsable(0, node(i), true));
     }
 
     private static CopySelector selector(String name) {
@@ -75,14 +75,14 @@
 
         @Test
         void aLeavingOrUnreachableCopyIsNeverChosen() {
-            selector.usable(WARM, NEAR, false);
+            selector.setUsable(WARM, NEAR, false);
 
             assertFalse(choices(WARM, 200).containsKey(NEAR));
         }
 
         @Test
         void withoutAUsableCopyNothingIsChosen() {
-            IntStream.range(0, 3).forEach(i -> selector.usable(WARM, node(i), false));
+            IntStream.range(0, 3).forEach(i -> selector.setUsable(WARM, node(i), false));
 
             assertEquals(Optional.empty(), selector.choose(WARM, SERVICE, Set.of(), LOW));
             assertEquals(Optional.empty(), selector.choose(WARM, new ServiceName("other"), Set.of(), LOW));
@@ -92,8 +92,8 @@
         // work to it at once; it answers late, and the requests are lost. A cold copy must get a share that rises.
         @Test
         void aCopyThatComesBackGetsAShareThatRises() {
-            selector.usable(WARM, NEAR, false);
-            selector.usable(WARM + 10 * SECOND, NEAR, true);
+            selector.setUsable(WARM, NEAR, false);
+            selector.setUsable(WARM + 10 * SECOND, NEAR, true);
 
             int cold = choices(WARM + 10 * SECOND, 1_000).get(NEAR);
             int halfWarm = choices(WARM + 12 * SECOND, 1_000).get(NEAR);
@@ -104,8 +104,8 @@
 
         @Test
         void aShortFalseSuspicionLeavesItWarm() {
-            selector.usable(WARM, NEAR, false);
-            selector.usable(WARM + SECOND, NEAR, true);
+            selector.setUsable(WARM, NEAR, false);
+            selector.setUsable(WARM + SECOND, NEAR, true);
 
             assertEquals(Map.of(NEAR, 100), choices(WARM + SECOND, 100));
         }
@@ -164,16 +164,16 @@
 
         @Test
         void anotherZoneIsChosenWhenTheQueueCostsMoreThanTheNetwork() {
-            selector.heard(WARM, NEAR, new LoadReport(10, 10, 20, 0));
-            selector.heard(WARM, FAR, IDLE);
-            selector.heard(WARM, node(2), IDLE);
+            selector.loadReported(WARM, NEAR, new LoadReport(10, 10, 20, 0));
+            selector.loadReported(WARM, FAR, IDLE);
+            selector.loadReported(WARM, node(2), IDLE);
 
             assertFalse(choices(WARM, 100).containsKey(NEAR));
         }
 
         @Test
         void aCopyThatAdmitsThePriorityIsPreferred() {
-            selector.heard(WARM, NEAR, new LoadReport(0, 10, 0, LOW.level() + 1));
+            selector.loadReported(WARM, NEAR, new LoadReport(0, 10, 0, LOW.level() + 1));
 
             assertFalse(choices(WARM, 100).containsKey(NEAR));
             assertEquals(Optional.of(NEAR), selector.choose(WARM, SERVICE, Set.of(), new Priority(LOW.level() + 1)));
@@ -187,7 +187,7 @@
             assertFalse(choices(WARM, 50).containsKey(NEAR));
 
             for (int i = 0; i < 15; i++) {
-                selector.withdrawn(WARM, NEAR);
+                selector.cancelled(WARM, NEAR);
                 selector.answered(WARM, NEAR, IDLE, SECOND / 100);
             }
             assertEquals(Map.of(NEAR, 50), choices(WARM, 50));
@@ -199,21 +199,21 @@
 
         @Test
         void isBoundedAndSpansTheZones() {
-            selector.roster(WARM, roster(60, 3));
+            selector.updateRoster(WARM, roster(60, 3));
 
             Map<AvailabilityZone, Integer> zones = new HashMap<>();
-            selector.wanted().forEach(copy -> zones.merge(copy.zone(), 1, Integer::sum));
-            assertEquals(8, selector.wanted().size());
+            selector.selectedCopies().forEach(copy -> zones.merge(copy.zone(), 1, Integer::sum));
+            assertEquals(8, selector.selectedCopies().size());
             assertTrue(zones.size() == 3 && zones.values().stream().allMatch(count -> count >= 2));
         }
 
         @Test
         void changesInOnePlaceWhenACopyGoes() {
-            selector.roster(WARM, roster(24, 3));
-            List<CopyEntry> before = selector.wanted();
-            selector.roster(WARM, roster(23, 3));
+            selector.updateRoster(WARM, roster(24, 3));
+            List<CopyEntry> before = selector.selectedCopies();
+            selector.updateRoster(WARM, roster(23, 3));
 
-            assertTrue(selector.wanted().stream()
+            assertTrue(selector.selectedCopies().stream()
                             .filter(copy -> !before.contains(copy))
                             .count()
                     <= 1);
@@ -222,9 +222,9 @@
         @Test
         void ofTheOwnServiceIsTheWholeRoster() {
             CopySelector own = selector("manifests-7");
-            own.roster(WARM, roster(24, 3));
+            own.updateRoster(WARM, roster(24, 3));
 
-            assertEquals(24, own.wanted().size());
+            assertEquals(24, own.selectedCopies().size());
         }
 
         @Test
@@ -232,8 +232,8 @@
             Map<NodeName, Integer> callers = new HashMap<>();
             for (int i = 0; i < 300; i++) {
                 CopySelector caller = selector("caller-" + i);
-                caller.roster(0, roster(24, 3));
-                caller.wanted().forEach(copy -> callers.merge(copy.node(), 1, Integer::sum));
+                caller.updateRoster(0, roster(24, 3));
+                caller.selectedCopies().forEach(copy -> callers.merge(copy.node(), 1, Integer::sum));
             }
 
             int mean = 300 * 8 / 24;
--- a/protocol/src/main/java/org/carawaysill/protocol/codec/EntryCodec.java
+++ b/protocol/src/main/java/org/carawaysill/protocol/codec/EntryCodec.java
@@ -71,7 +71,7 @@
                 .setRevision(entry.revision().number())
                 .setEra(entry.revision().era())
                 .setWriterStart(entry.version().start())
-                .setWrite(entry.version().write())
+                .setWrite(entry.version().writeCount())
                 .setStage(encode(entry.version().stage()));
         entry.text().ifPresent(frame::setText);
         return frame.build();
--- a/soak/src/main/java/org/carawaysill/soak/SimulatedCopy.java
+++ b/soak/src/main/java/org/carawaysill/soak/SimulatedCopy.java
@@ -49,7 +49,7 @@
         return !running.isEmpty();
     }
 
-    void run(Effect.HandToCopy hand, long nodeNanos) {
+    void run(Effect.SendToCopy hand, long nodeNanos) {
         AttemptIdentifier attempt = hand.attempt();
         if (nodeNanos >= hand.deadlineNanos()) {
             refuse(attempt, RefusalReason.DEADLINE);
@@ -87,7 +87,7 @@
         return (long) (random.nextLong(2_000_000L, 30_000_000L) * schedule.slowness());
     }
 
-    private void callDeeper(long incarnation, Effect.HandToCopy hand) {
+    private void callDeeper(long incarnation, Effect.SendToCopy hand) {
         String key = hand.content().header(Clients.KEY_HEADER).orElseThrow();
         if (!node.alive() || node.incarnation() != incarnation) {
             running.remove(hand.attempt());
--- a/soak/src/main/java/org/carawaysill/soak/SimulatedNode.java
+++ b/soak/src/main/java/org/carawaysill/soak/SimulatedNode.java
@@ -209,7 +209,7 @@
             pause(random.nextLong(schedule.longestPause()));
         }
         switch (effect) {
-            case Effect.HandToCopy hand -> copy.run(hand, moment().nanos());
+            case Effect.SendToCopy hand -> copy.run(hand, moment().nanos());
             case Effect.CancelAtCopy cancel -> copy.cancel(cancel.attempt());
             case Effect.AnswerExchange answer -> answer(answer);
             case Effect.SendToPeer send -> send(send);
--- a/soak/src/main/java/org/carawaysill/soak/SimulatedPlatform.java
+++ b/soak/src/main/java/org/carawaysill/soak/SimulatedPlatform.java
@@ -98,11 +98,11 @@
             watch.deliver(new Event.ConfigurationReadFailed(service, Step.CONFIGURATION, "platform down"));
         } else if (document.version() > watch.read().knownVersion()) {
             watch.deliver(documents.event(service, document.version(), document.text()));
-        } else if (watch.expired() || watch.read().patience().isZero()) {
+        } else if (watch.expired() || watch.read().maximumWait().isZero()) {
             watch.deliver(new Event.ConfigurationUnchanged(service));
         } else {
             watches.add(watch);
-            agenda.in(watch.read().patience().toNanos(), () -> {
+            agenda.in(watch.read().maximumWait().toNanos(), () -> {
                 if (watches.remove(watch)) {
                     answer(new Watch(watch.node(), watch.incarnation(), watch.read(), true));
                 }
