--- a/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
+++ b/node/src/main/java/org/carawaysill/node/fleet/FleetNode.java
@@ -158,7 +158,7 @@
 
     private void dispatch(FleetEffect effect) {
         switch (effect) {
-            case FleetEffect.SendToCopy hand -> copy.send(hand);
+            case FleetEffect.SendToCopy request -> copy.send(request);
             case FleetEffect.CancelAtCopy cancel -> copy.cancel(cancel.attempt());
             case FleetEffect.CloseIdleCopyConnections _ -> copy.closeIdle();
             case FleetEffect.AnswerExchange answer -> entry.answer(answer.exchange(), answer.outcome());
--- a/node/src/main/java/org/carawaysill/node/platform/PlatformReader.java
+++ b/node/src/main/java/org/carawaysill/node/platform/PlatformReader.java
@@ -93,16 +93,16 @@
      *
      * @param service the service
      * @param knownVersion the version that is already known, 0 for none
-     * @param patience how long the platform may hold the read open for a newer version; zero for a plain read
+     * @param maximumWait how long the platform may hold the read open for a newer version; zero for a plain read
      */
-    public void readConfiguration(ServiceName service, long knownVersion, Duration patience) {
+    public void readConfiguration(ServiceName service, long knownVersion, Duration maximumWait) {
         HttpRequest<?> request =
                 client.get(configuration.port(), configuration.host(), "/configuration/" + service.value());
-        if (patience.isPositive()) {
+        if (maximumWait.isPositive()) {
             request.addQueryParam("after", Long.toString(knownVersion));
-            request.addQueryParam("wait-milliseconds", Long.toString(patience.toMillis()));
+            request.addQueryParam("wait-milliseconds", Long.toString(maximumWait.toMillis()));
         }
-        send(request, patience.plus(ANSWER_LIMIT))
+        send(request, maximumWait.plus(ANSWER_LIMIT))
                 .onItem()
                 .transform(answer -> configurationEvent(service, knownVersion, answer))
                 .onFailure()
--- a/node/src/main/java/org/carawaysill/node/policy/EffectDispatcher.java
+++ b/node/src/main/java/org/carawaysill/node/policy/EffectDispatcher.java
@@ -40,7 +40,7 @@
 
     void dispatch(Effect effect) {
         switch (effect) {
-            case Effect.SendToCopy hand -> copy.send(hand);
+            case Effect.SendToCopy request -> copy.send(request);
             case Effect.CancelAtCopy cancel -> copy.cancel(cancel.attempt());
             case Effect.AnswerExchange answer -> exchanges.answer(answer.exchange(), answer.outcome());
             case Effect.SendToPeer send -> peers.send(send.peer(), send.message());
--- a/node/src/test/java/org/carawaysill/node/platform/PlatformReaderTest.java
+++ b/node/src/test/java/org/carawaysill/node/platform/PlatformReaderTest.java
@@ -76,8 +76,8 @@
         bench.close();
     }
 
-    private void read(long knownVersion, Duration patience) {
-        reader.readConfiguration(TRACKER, knownVersion, patience);
+    private void read(long knownVersion, Duration maximumWait) {
+        reader.readConfiguration(TRACKER, knownVersion, maximumWait);
     }
 
     private Event.ConfigurationReadFailed failure() {
--- a/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
+++ b/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
@@ -139,7 +139,7 @@
 
         /*
          * A process is paused between the decision and the write, and resumes after its client has left. A request
-         * written then would run for nobody.
+         * written then would run although no client waits for it.
          */
         @Test
         void areNotWrittenAfterTheirDeadline() {
--- a/policy/src/main/java/org/carawaysill/policy/NodePolicy.java
+++ b/policy/src/main/java/org/carawaysill/policy/NodePolicy.java
@@ -22,7 +22,7 @@
     List<Effect> decide(Moment now, Event event);
 
     /**
-     * Tells when the policy must be woken if nothing happens before.
+     * Returns when the policy must be woken if nothing happens before.
      *
      * @return a time on the monotonic clock in nanoseconds, {@link Long#MAX_VALUE} for never
      */
--- a/policy/src/main/java/org/carawaysill/policy/distribution/DistributionSettings.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/DistributionSettings.java
@@ -8,7 +8,7 @@
  * <p>Immutable and thread safe.
  *
  * @param readersPerService the number of nodes of a service that watch a document at the platform
- * @param patience how long the platform may keep a watch open
+ * @param maximumWait how long the platform may keep a watch open
  * @param auditInterval the mean interval between reads of a service's document by nodes of the service that don't watch
  *     it
  * @param fleetReadsPerSecond the limit of the fleet's total reads at the platform when every node reads for itself
@@ -16,7 +16,7 @@
  */
 public record DistributionSettings(
         int readersPerService,
-        Duration patience,
+        Duration maximumWait,
         Duration auditInterval,
         int fleetReadsPerSecond,
         Duration startTimeout) {
@@ -37,7 +37,7 @@
     public static final class Builder {
 
         private int readersPerService = 2;
-        private Duration patience = Duration.ofSeconds(30);
+        private Duration maximumWait = Duration.ofSeconds(30);
         private Duration auditInterval = Duration.ofSeconds(5);
         private int fleetReadsPerSecond = 800;
         private Duration startTimeout = Duration.ofSeconds(3);
@@ -61,8 +61,8 @@
          * @param duration the time for which the platform may keep it open
          * @return this builder
          */
-        public Builder patience(Duration duration) {
-            patience = duration;
+        public Builder maximumWait(Duration duration) {
+            maximumWait = duration;
             return this;
         }
 
@@ -106,7 +106,7 @@
          */
         public DistributionSettings build() {
             return new DistributionSettings(
-                    readersPerService, patience, auditInterval, fleetReadsPerSecond, startTimeout);
+                    readersPerService, maximumWait, auditInterval, fleetReadsPerSecond, startTimeout);
         }
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/distribution/PlatformReads.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/PlatformReads.java
@@ -135,7 +135,7 @@
                 return;
             }
             if (wanted.test(service)) {
-                effects.addAll(read(now, service, known.applyAsLong(service), settings.patience()));
+                effects.addAll(read(now, service, known.applyAsLong(service), settings.maximumWait()));
             } else {
                 schedule.postpone(now + MIN_READ_INTERVAL_NANOS);
             }
@@ -153,12 +153,12 @@
         return !hasRead || now - lastReadNanos >= minIntervalNanos();
     }
 
-    private List<Effect> read(long now, ServiceName service, long known, Duration patience) {
+    private List<Effect> read(long now, ServiceName service, long known, Duration maximumWait) {
         lastReadNanos = now;
         hasRead = true;
-        schedule(service).opened(now, patience);
+        schedule(service).opened(now, maximumWait);
         return List.of(
-                new Effect.Count(ConfigurationCount.READ), new Effect.ReadConfiguration(service, known, patience));
+                new Effect.Count(ConfigurationCount.READ), new Effect.ReadConfiguration(service, known, maximumWait));
     }
 
     long nextWakeNanos() {
--- a/policy/src/main/java/org/carawaysill/policy/distribution/ReadSchedule.java
+++ b/policy/src/main/java/org/carawaysill/policy/distribution/ReadSchedule.java
@@ -17,7 +17,7 @@
 
     /**
      * A read whose outcome never arrives, as when the adapter's connection was replaced meanwhile, would permanently
-     * stop the watch of this document; so it counts as failed after this time beyond its patience.
+     * stop the watch of this document; so it counts as failed after this time beyond its maximum wait.
      */
     private static final long LOST_AFTER_NANOS = Duration.ofSeconds(10).toNanos();
 
@@ -25,7 +25,7 @@
     private boolean reader;
     private boolean open;
     private long openedNanos;
-    private long patienceNanos;
+    private long maximumWaitNanos;
     private long dueNanos = Long.MAX_VALUE;
     private int failures;
 
@@ -42,7 +42,8 @@
     }
 
     /**
-     * Sets whether this node is a reader of the document. When it stops being one, an open watch ends by itself.
+     * Sets whether this node is a reader of the document. An open watch is not cancelled when it stops
+     * being one, but no other follows.
      *
      * @param now nanoseconds on the monotonic clock
      * @param nowReader whether it is a reader from now on
@@ -84,15 +85,15 @@
         return !open && now >= dueNanos;
     }
 
-    void opened(long now, Duration patience) {
+    void opened(long now, Duration maximumWait) {
         open = true;
         openedNanos = now;
-        patienceNanos = patience.toNanos();
+        maximumWaitNanos = maximumWait.toNanos();
         dueNanos = Long.MAX_VALUE;
     }
 
     void expireLost(long now) {
-        if (open && now >= openedNanos + patienceNanos + LOST_AFTER_NANOS) {
+        if (open && now >= openedNanos + maximumWaitNanos + LOST_AFTER_NANOS) {
             failed(now);
         }
     }
@@ -104,13 +105,13 @@
     }
 
     /**
-     * Handles a read without a newer document. A watch that ends long before its patience counts as a failure, since it
-     * would cause a busy loop of reads.
+     * Handles a read without a newer document. A watch that ends long before its maximum wait counts as a failure,
+     * since it would cause a busy loop of reads.
      *
      * @param now nanoseconds on the monotonic clock
      */
     void nothingNewer(long now) {
-        if (open && now - openedNanos < patienceNanos / 2) {
+        if (open && now - openedNanos < maximumWaitNanos / 2) {
             failed(now);
             return;
         }
@@ -131,6 +132,6 @@
     }
 
     long nextWakeNanos() {
-        return open ? openedNanos + patienceNanos + LOST_AFTER_NANOS : dueNanos;
+        return open ? openedNanos + maximumWaitNanos + LOST_AFTER_NANOS : dueNanos;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Admission.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Admission.java
@@ -125,7 +125,7 @@
      * does not lower the load: each client retries once.
      */
     private Duration randomRetryAfter(Route route) {
-        long aim = route.targetLatency().toNanos();
-        return Duration.ofNanos(aim / 8 + random.nextLong(Math.max(1, aim / 4)));
+        long targetNanos = route.targetLatency().toNanos();
+        return Duration.ofNanos(targetNanos / 8 + random.nextLong(Math.max(1, targetNanos / 4)));
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/Arrivals.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/Arrivals.java
@@ -34,8 +34,8 @@
         CALLS,
         /**
          * None. Guards against a request that arrives while the process closes its connections: it would be sent to the
-         * copy, and the process would end within 0.1 s, so that the client gets no answer and the copy works for
-         * nobody.
+         * copy, and the process would end within 0.1 s, so that the client gets no answer and the work of the
+         * copy is wasted.
          */
         NOTHING
     }
@@ -80,7 +80,7 @@
             return refused(arrival, RefusalReason.DRAINING, Step.DRAIN);
         }
         Duration wait = arrival.clientTimeout()
-                .filter(patience -> patience.compareTo(route.timeout()) < 0)
+                .filter(timeout -> timeout.compareTo(route.timeout()) < 0)
                 .orElse(route.timeout());
         return Optional.of(new OutgoingRequest(
                 identification.toForward(arrival), route, splits.next(route), origin, now, now + wait.toNanos()));
--- a/policy/src/main/java/org/carawaysill/policy/fleet/AttemptRules.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/AttemptRules.java
@@ -77,8 +77,8 @@
     static boolean mayTryAnotherCopy(UnknownReason reason) {
         return switch (reason) {
             case PEER_LOST, COPY_LOST, COPY_CRASHED, TRUNCATED -> true;
-            // After a quarantine the next copy would crash too, and after the deadline nobody waits. The other reasons
-            // do not occur for requests that any copy may run.
+            // After a quarantine the next copy would crash too, and after the deadline no client waits. The other
+            // reasons do not occur for requests that any copy may run.
             case QUARANTINED, DEADLINE, RESTARTED, IDENTIFIER_TIME, HOLDER_UNREACHABLE, NO_LEASE, EARLIER_ATTEMPT ->
                 false;
         };
--- a/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
@@ -79,20 +79,20 @@
     }
 
     /** Returns what is known of a request; costs nothing as long as no copy has crashed. */
-    private SuspicionState standing(
+    private SuspicionState suspicionState(
             long now, ServiceName service, Optional<OrganisationName> organisation, RequestContent content) {
         return table.isEmpty()
                 ? new SuspicionState.Clear()
                 : table.suspicionState(now, fingerprints.of(service, organisation, content));
     }
 
-    private SuspicionState standing(long now, CopyRequest request) {
-        return standing(now, request.service(), request.organisation(), request.content());
+    private SuspicionState suspicionState(long now, CopyRequest request) {
+        return suspicionState(now, request.service(), request.organisation(), request.content());
     }
 
     /** Returns whether a copy crashed while it ran a request that has not been cleared since. */
     boolean isSuspected(long now, CopyRequest request) {
-        return standing(now, request) instanceof SuspicionState.Suspected;
+        return suspicionState(now, request) instanceof SuspicionState.Suspected;
     }
 
     /**
@@ -107,7 +107,7 @@
 
     /** Decides whether a request may run at the local copy. */
     Placement placement(long now, CopyRequest request) {
-        return switch (standing(now, request)) {
+        return switch (suspicionState(now, request)) {
             case SuspicionState.Clear _ -> new Placement.Unsuspected();
             case SuspicionState.Suspected suspected -> placement(now, request, suspected);
             case SuspicionState.Quarantined found -> {
@@ -135,9 +135,9 @@
     /** Refuses a client's request that is quarantined because copies crashed; returns empty for any other request. */
     Optional<Outcome.NotRun> refusal(long now, OutgoingRequest request) {
         FleetEvent.RequestArrived arrival = request.arrival();
-        SuspicionState standing =
-                standing(now, request.service(), request.origin().organisationName(), arrival.content());
-        if (standing instanceof SuspicionState.Quarantined found) {
+        SuspicionState state =
+                suspicionState(now, request.service(), request.origin().organisationName(), arrival.content());
+        if (state instanceof SuspicionState.Quarantined found) {
             logRefused(arrival.requestName(), found);
             return Optional.of(refusal(found, Step.ADMISSION));
         }
@@ -244,14 +244,14 @@
     /** Notes that the local copy answered a request; returns whether that cleared a suspicion. */
     boolean answered(long now, CopyRequest request) {
         ServiceName service = request.service();
-        SuspicionState standing = standing(now, request);
-        switch (standing) {
+        SuspicionState state = suspicionState(now, request);
+        switch (state) {
             case SuspicionState.Clear _ -> {}
             case SuspicionState.Suspected suspected ->
                 clear(now, service, suspected.fingerprint(), suspected.crashes());
             case SuspicionState.Quarantined found -> clear(now, service, found.fingerprint(), found.crashes());
         }
-        return !(standing instanceof SuspicionState.Clear);
+        return !(state instanceof SuspicionState.Clear);
     }
 
     private void clear(long now, ServiceName service, Fingerprint fingerprint, int crashes) {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
@@ -37,7 +37,7 @@
     private final PublishedView view;
     private final Peers peers;
     private final FleetAllowances allowances;
-    private final ReportAggregator group = new ReportAggregator();
+    private final ReportAggregator reportAggregator = new ReportAggregator();
     private final Summaries groupSummaries = new Summaries();
     private final Summaries fleetSummaries = new Summaries();
     private Aggregators aggregators = new Aggregators(Map.of());
@@ -55,7 +55,7 @@
     /** Receives another node's own report. */
     void reported(long now, NodeName from, NodeReport report) {
         if (report.summed()) {
-            group.reported(now, from, report);
+            reportAggregator.reported(now, from, report);
         }
     }
 
@@ -74,20 +74,21 @@
     }
 
     void lost(NodeName node) {
-        group.lost(node);
+        reportAggregator.lost(node);
         groupSummaries.lost(node);
         fleetSummaries.lost(node);
     }
 
     private boolean isAggregator() {
-        return !group.members().isEmpty() || aggregators.of(settings.zone()).contains(settings.self());
+        return !reportAggregator.members().isEmpty()
+                || aggregators.of(settings.zone()).contains(settings.self());
     }
 
     /**
      * Sends this node's report, and as an aggregator also the summaries; then updates this node's view of the fleet.
      */
     void tick(long now, NodeReport own) {
-        group.passTime(now);
+        reportAggregator.passTime(now);
         groupSummaries.passTime(now);
         fleetSummaries.passTime(now);
         aggregators = new Aggregators(reachableByZone());
@@ -120,8 +121,8 @@
         NodeName primary = receivers.getFirst();
         for (NodeName receiver : receivers) {
             if (!receiver.equals(settings.self())) {
-                boolean whole = receiver.equals(primary);
-                send(now, receiver, own.forAggregator(whole));
+                boolean withDemands = receiver.equals(primary);
+                send(now, receiver, own.forAggregator(withDemands));
             }
         }
         return primary.equals(settings.self());
@@ -133,13 +134,13 @@
     }
 
     private void sendSummaries(long now, NodeReport own) {
-        StateSummary groupSummary = group.summary(settings.self(), own);
+        StateSummary groupSummary = reportAggregator.summary(settings.self(), own);
         Set<NodeName> others = otherAggregators();
         others.forEach(other -> send(now, other, new PeerMessage.GroupSummary(groupSummary)));
         List<StateSummary> all = new ArrayList<>(groupSummaries.all());
         all.add(groupSummary);
         StateSummary joined = Summaries.merge(own.published(), all);
-        for (NodeName member : group.members()) {
+        for (NodeName member : reportAggregator.members()) {
             if (!others.contains(member)) {
                 effects.add(new FleetEffect.SendToPeer(member, new PeerMessage.FleetSummary(joined)));
             }
@@ -196,7 +197,7 @@
         reportToAggregators(now, own);
         if (isAggregator()) {
             Set<NodeName> receivers = otherAggregators();
-            receivers.addAll(group.members());
+            receivers.addAll(reportAggregator.members());
             receivers.removeAll(aggregators.of(settings.zone()));
             receivers.forEach(receiver -> sendReport(receiver, own));
         }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/LocalRuns.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/LocalRuns.java
@@ -288,7 +288,7 @@
 
     /**
      * Ends the requests of a lost node, which can't be answered any more. A running request that is not idempotent
-     * continues: cancelling it would leave it half done, and nobody could retry it.
+     * continues: cancelling it would leave it half done, and no node could retry it.
      */
     void senderLost(long now, NodeName sender) {
         for (LocalRun run : gate.all()) {
--- a/policy/src/main/java/org/carawaysill/policy/fleet/PublishedView.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/PublishedView.java
@@ -167,8 +167,8 @@
      * Expects an entry of an older era to be written at the platform again, and removes its copy if that does not
      * happen.
      *
-     * <p>Guards against a copy that is gone for good but stays in use because a node that does not know the platform's
-     * present era reports it: an entry that the platform has lost must be written there again.
+     * <p>Guards against a copy that is permanently gone but stays in use because a node that does not know the
+     * platform's present era reports it: an entry that the platform has lost must be written there again.
      */
     private void expectRepublication(long now, KnownEntry received) {
         long era = received.revision().era();
@@ -297,9 +297,9 @@
     }
 
     /**
-     * Returns how many nodes may serve callers now: the nodes of copies of named services, the reachable nodes of other
-     * published copies, and nodes whose entries recently lapsed without a planned stop. An entry of an unrelated writer
-     * names no node.
+     * Returns how many nodes may serve callers now: the nodes of copies of configured services, the reachable nodes of
+     * other published copies, and nodes whose entries recently lapsed without a planned stop. An entry of an unrelated
+     * writer names no node.
      */
     int nodeCount(long now, Predicate<NodeName> inTouch) {
         Set<String> hosts = new HashSet<>();
--- a/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
@@ -14,7 +14,8 @@
  * <p>The load reported by a node whose copy is gone or leaving does not count. Guards against admitting requests that
  * no copy can run: if three of four copies of a deep service are no longer published, their nodes still report all
  * their slots, and hardly any chain of calls through the last copy ends in time. In virtual time, 0.41 instead of 0.33
- * of the requests then end within their aim, and 590 instead of 2,800 fail. Not thread safe: owned by the policy.
+ * of the requests then end within their target latency, and 590 instead of 2,800 fail. Not thread safe: owned by the
+ * policy.
  */
 final class ServiceLoads {
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
@@ -246,12 +246,12 @@
      * Estimates the load of the copy with one more request.
      *
      * @param now the monotonic time
-     * @param without the mechanisms that are switched off
+     * @param disabledMechanisms the mechanisms that are switched off
      * @return requests divided by the limit, multiplied by a factor during the warm-up
      */
-    public double expectedLoad(long now, Set<Mechanism> without) {
+    public double expectedLoad(long now, Set<Mechanism> disabledMechanisms) {
         double expected = (othersLoad + outstanding + 1) / (double) Math.max(1, load.limit());
-        boolean cold = now < warmNanos && !without.contains(Mechanism.COLD_FACTOR);
+        boolean cold = now < warmNanos && !disabledMechanisms.contains(Mechanism.COLD_FACTOR);
         return cold ? expected * COLD_LOAD_FACTOR : expected;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyChoice.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyChoice.java
@@ -67,7 +67,7 @@
 
     private final NodeName self;
     private final AvailabilityZone zone;
-    private final Set<Mechanism> without;
+    private final Set<Mechanism> disabledMechanisms;
     private final RandomGenerator random;
 
     /**
@@ -75,13 +75,13 @@
      *
      * @param self this node
      * @param zone the availability zone of this node
-     * @param without the mechanisms that are switched off
+     * @param disabledMechanisms the mechanisms that are switched off
      * @param random the source of jitter
      */
-    public CopyChoice(NodeName self, AvailabilityZone zone, Set<Mechanism> without, RandomGenerator random) {
+    public CopyChoice(NodeName self, AvailabilityZone zone, Set<Mechanism> disabledMechanisms, RandomGenerator random) {
         this.self = self;
         this.zone = zone;
-        this.without = without;
+        this.disabledMechanisms = disabledMechanisms;
         this.random = random;
     }
 
@@ -104,7 +104,7 @@
         double bestCost = Double.MAX_VALUE;
         for (Copy copy : copies) {
             if (!tried.contains(copy.record().copy()) && isReachable.test(copy.node())) {
-                double cost = copy.expectedLoad(now, without)
+                double cost = copy.expectedLoad(now, disabledMechanisms)
                         + JITTER * random.nextDouble()
                         + idlePart * slownessPenalty(copy, meanWorkSeconds)
                         + failurePenalty(now, copy, bestSuccess)
@@ -121,7 +121,7 @@
     private double idlePart(long now, List<Copy> copies) {
         double loads = 0;
         for (Copy copy : copies) {
-            loads += Math.min(1, copy.expectedLoad(now, without));
+            loads += Math.min(1, copy.expectedLoad(now, disabledMechanisms));
         }
         return copies.isEmpty() ? 0 : 1 - loads / copies.size();
     }
@@ -147,20 +147,21 @@
     }
 
     private double failurePenalty(long now, Copy copy, double bestSuccess) {
-        return without.contains(Mechanism.SUCCESS_WEIGHT)
+        return disabledMechanisms.contains(Mechanism.SUCCESS_WEIGHT)
                 ? 0
                 : FAILURE_WEIGHT * Math.max(0, bestSuccess - copy.success(now));
     }
 
     private double slownessPenalty(Copy copy, double meanWorkSeconds) {
-        if (without.contains(Mechanism.COPY_SPEED) || copy.workSeconds() == 0 || meanWorkSeconds == 0) {
+        if (disabledMechanisms.contains(Mechanism.COPY_SPEED) || copy.workSeconds() == 0 || meanWorkSeconds == 0) {
             return SPEED_WEIGHT;
         }
         return SPEED_WEIGHT * Math.min(MAXIMUM_SLOWNESS, copy.workSeconds() / meanWorkSeconds);
     }
 
     private double nearnessGain(Copy copy, double idlePart, double answerBytes) {
-        if (without.contains(Mechanism.NEARNESS) || !copy.record().zone().equals(zone)) {
+        if (disabledMechanisms.contains(Mechanism.NEARNESS)
+                || !copy.record().zone().equals(zone)) {
             return 0;
         }
         double gain = copy.node().equals(self) ? LOCAL_GAIN : ZONE_GAIN;
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyGate.java
@@ -60,12 +60,12 @@
     /**
      * Creates a gate in front of a copy whose record is still unknown.
      *
-     * @param without the mechanisms that are switched off
+     * @param disabledMechanisms the mechanisms that are switched off
      */
-    public CopyGate(Set<Mechanism> without) {
-        order = without.contains(Mechanism.OLDEST_FIRST) ? LocalRun.DEEPEST_FIRST : LocalRun.OLDEST_FIRST;
+    public CopyGate(Set<Mechanism> disabledMechanisms) {
+        order = disabledMechanisms.contains(Mechanism.OLDEST_FIRST) ? LocalRun.DEEPEST_FIRST : LocalRun.OLDEST_FIRST;
         queue = new PriorityQueue<>(order);
-        nearFull = new NearFullLimit(!without.contains(Mechanism.NEAR_FULL_LIMIT));
+        nearFull = new NearFullLimit(!disabledMechanisms.contains(Mechanism.NEAR_FULL_LIMIT));
         nearFull.reset(0, slots);
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/entry/EntryPlan.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/entry/EntryPlan.java
@@ -47,7 +47,7 @@
     /** The part of a service's slots that the minimum shares may use where organisations have several ranks. */
     private static final double MINIMUM_PART_OF_RANKS = 0.4;
 
-    private final Set<Mechanism> without;
+    private final Set<Mechanism> disabledMechanisms;
     private final RouteCosts costs = new RouteCosts();
     private final PlannedSlots slots = new PlannedSlots();
     private SlotAllocation allocation = new SlotAllocation();
@@ -57,10 +57,10 @@
     /**
      * Creates an empty plan, which admits everything.
      *
-     * @param without the mechanisms that are switched off
+     * @param disabledMechanisms the mechanisms that are switched off
      */
-    public EntryPlan(Set<Mechanism> without) {
-        this.without = without;
+    public EntryPlan(Set<Mechanism> disabledMechanisms) {
+        this.disabledMechanisms = disabledMechanisms;
     }
 
     /**
@@ -74,7 +74,7 @@
     public void update(RouteSums demand, Map<ServiceName, ServiceLoad> loads, Map<String, Route> routes) {
         costs.average(demand);
         costs.retain(routes.keySet());
-        if (without.contains(Mechanism.ENTRY_PLAN)) {
+        if (disabledMechanisms.contains(Mechanism.ENTRY_PLAN)) {
             return;
         }
         SortedMap<Integer, List<PlannedRoute>> byRank = byRank(demand, routes);
@@ -130,7 +130,7 @@
     }
 
     private SlotAllocation allocation(Map<ServiceName, ServiceLoad> loads) {
-        if (!without.contains(Mechanism.IDLE_SLOTS)) {
+        if (!disabledMechanisms.contains(Mechanism.IDLE_SLOTS)) {
             slots.update(loads, allocation::isFull);
         }
         SlotAllocation newAllocation = new SlotAllocation();
--- a/policy/src/main/java/org/carawaysill/policy/fleet/publication/Eras.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/publication/Eras.java
@@ -69,8 +69,8 @@
     /**
      * Returns the era of the last answer.
      *
-     * @return the era; {@link Revision#UNKNOWN_ERA} if it had none and other answers had one, {@link #NOT_REPORTED} if none
-     *     ever had
+     * @return the era; {@link Revision#UNKNOWN_ERA} if it had none and other answers had one, {@link #NOT_REPORTED} if
+     *     none ever had
      */
     public long current() {
         return isUnreadable() ? Revision.UNKNOWN_ERA : current;
--- a/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/SuspectTable.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/quarantine/SuspectTable.java
@@ -154,11 +154,11 @@
     }
 
     /**
-     * Returns the standing of a request.
+     * Returns whether a request is suspected or quarantined.
      *
      * @param now the monotonic time
      * @param fingerprint the request's fingerprint
-     * @return the standing
+     * @return its suspicion state
      */
     public SuspicionState suspicionState(long now, Fingerprint fingerprint) {
         recompute();
--- a/policy/src/test/java/org/carawaysill/policy/distribution/VirtualPlatform.java
+++ b/policy/src/test/java/org/carawaysill/policy/distribution/VirtualPlatform.java
@@ -84,7 +84,7 @@
         return lastValid.get(service).version;
     }
 
-    /** Reads a document. The returned action ends the watch if it has no answer when its patience is over. */
+    /** Reads a document. The returned action ends the watch if it has no answer when its maximum wait is over. */
     Runnable read(long now, ServiceName service, long known, Consumer<Event> answer) {
         readsBySecond.merge(now / VirtualFleet.SECOND, 1, Integer::sum);
         if (mode == Mode.DOWN) {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/BillSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/BillSite.java
@@ -9,7 +9,7 @@
  * A site of 95 nodes in five availability zones, whose deepest service has six copies and is full at the usual rates:
  * two kinds of requests make eight and four short calls there, three services below the one that they enter.
  *
- * <p>Slots, speeds, work times, aims and limits come from a customer's data sheet. Not thread safe.
+ * <p>Slots, speeds, work times, target latencies and limits come from a customer's data sheet. Not thread safe.
  */
 final class BillSite extends VirtualSite {
 
@@ -35,8 +35,8 @@
                             answer(400)),
             "/schedule/", new Work(33 * MILLI, 0.5, List.of(), answer(400)));
 
-    BillSite(long seed, Set<Mechanism> without) {
-        super(seed, without, KINDS);
+    BillSite(long seed, Set<Mechanism> disabledMechanisms) {
+        super(seed, disabledMechanisms, KINDS);
         configure(
                 Routes.route("/chain/", "issuer", true, 2, 1000, 1000),
                 Routes.route("/registry/", "parties", true, 2, 800, 800),
--- a/policy/src/test/java/org/carawaysill/policy/fleet/BillSiteTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/BillSiteTest.java
@@ -22,11 +22,11 @@
     private static final int SEEDS = 2;
     private static final double SECONDS = 16;
 
-    private static double mean(double load, Set<Mechanism> without, ToDoubleFunction<BillSite> figure) {
+    private static double mean(double load, Set<Mechanism> disabledMechanisms, ToDoubleFunction<BillSite> figure) {
         return LongStream.rangeClosed(1, SEEDS)
                 .parallel()
                 .mapToDouble(seed -> {
-                    BillSite site = new BillSite(seed, without);
+                    BillSite site = new BillSite(seed, disabledMechanisms);
                     site.offer(load, 0, SECONDS);
                     site.play(SECONDS + 4);
                     return figure.applyAsDouble(site);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/ChangingRoute.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/ChangingRoute.java
@@ -66,7 +66,7 @@
         fleet.configure(fleet.version(), routes());
     }
 
-    /** Returns the alternating route, and one route to each service, so that both services are always named. */
+    /** Returns the alternating route, and one route to each service, so that both services are always configured. */
     private Route[] routes() {
         return new Route[] {
             Routes.route(PATH, service, true, 1, 900, 500),
--- a/policy/src/test/java/org/carawaysill/policy/fleet/LastingDemandTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/LastingDemandTest.java
@@ -69,7 +69,7 @@
         }
     }
 
-    /* Guards against nodes that each take the allowance for theirs, since few copies are of services that are named. */
+    /* Guards against nodes that each use the whole allowance because only few copies belong to configured services. */
     @ParameterizedTest
     @CsvSource({
         "14, 14, 0",
@@ -82,7 +82,6 @@
         "6, 6, 0",
         "30, 30, 0"
     })
-    /** Guards against nodes that each use the whole allowance because only few copies belong to named services. */
     void isHeldToTheAllowance(int nodes, int copies, int subnet) {
         VirtualFleet fleet = settled(nodes, copies, subnet);
         SplittableRandom random = new SplittableRandom(17);
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PlannedStopTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PlannedStopTest.java
@@ -174,8 +174,8 @@
 
         /*
          * Guards against a request on an open connection just after a stopping node has nothing left to do. It was sent
-         * to the copy, and the process ended within 0.1 s: the client got no answer, and the copy worked for nobody. It
-         * must be refused at once, without being run.
+         * to the copy, and the process ended within 0.1 s: the client got no answer, and the work of the copy was
+         * wasted. It must be refused at once, without being run.
          */
         @Test
         void clientsAreRefusedAtOnce() {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/PostingSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/PostingSite.java
@@ -15,8 +15,8 @@
 /**
  * A site of fourteen nodes in three availability zones, on which some requests crash the copy that runs them.
  *
- * <p>Slots, work times, aims and limits come from a customer's data sheet. Each request has its own path, except for
- * one popular path that twenty requests a second share. Not thread safe.
+ * <p>Slots, work times, target latencies and limits come from a customer's data sheet. Each request has its own path,
+ * except for one popular path that twenty requests a second share. Not thread safe.
  */
 final class PostingSite extends VirtualSite {
 
--- a/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSite.java
@@ -9,7 +9,7 @@
  * A site whose deepest service is needed by three of four kinds of requests: by one for long work, and by two for
  * chains of four and eight short calls from one and two services further up.
  *
- * <p>Slots, speeds, work times, aims and limits come from a customer's data sheet. Not thread safe.
+ * <p>Slots, speeds, work times, target latencies and limits come from a customer's data sheet. Not thread safe.
  */
 final class QuoteSite extends VirtualSite {
 
@@ -33,8 +33,8 @@
             "/slot/", new Work(55 * MILLI, 0.5, List.of()));
 
     /** Creates the site with some mechanisms of the policy switched off. */
-    QuoteSite(long seed, Set<Mechanism> without) {
-        super(seed, without, KINDS);
+    QuoteSite(long seed, Set<Mechanism> disabledMechanisms) {
+        super(seed, disabledMechanisms, KINDS);
         configure(
                 Routes.route("/check/", "deposits", true, 2, 1000, 1000),
                 Routes.route("/spec/", "quoting", true, 2, 800, 800),
--- a/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSiteTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/QuoteSiteTest.java
@@ -27,11 +27,12 @@
     /** At this multiple of the usual rates the demand on the deepest service is 1.25 times its slots. */
     private static final double OVERLOAD = 2.3;
 
-    private static double mean(Consumer<QuoteSite> day, Set<Mechanism> without, ToDoubleFunction<QuoteSite> figure) {
+    private static double mean(
+            Consumer<QuoteSite> day, Set<Mechanism> disabledMechanisms, ToDoubleFunction<QuoteSite> figure) {
         return LongStream.rangeClosed(1, SEEDS)
                 .parallel()
                 .mapToDouble(seed -> {
-                    QuoteSite site = new QuoteSite(seed, without);
+                    QuoteSite site = new QuoteSite(seed, disabledMechanisms);
                     day.accept(site);
                     site.play(SECONDS + 6);
                     return figure.applyAsDouble(site);
@@ -140,7 +141,7 @@
         /*
          * Guards against choosing copies without regard to their speed. At the usual load a deposit makes a dozen
          * calls, each as likely at the slowest copy of a service as at one that is three times as fast: one in eleven
-         * misses its aim, though most slots are free.
+         * misses its target latency, though most slots are free.
          */
         @Test
         void countWhileThereIsRoom() {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/RemovalTest.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/RemovalTest.java
@@ -105,7 +105,7 @@
             assertEquals(List.of(), lateRuns(FIRST_REFUSED + 13 * SECOND));
         }
 
-        /* Guards against a removal that neither the refused node nor the nodes that it informs learn in time. */
+        /* Guards against a removal that neither the refused node nor the nodes that it informs learn of in time. */
         @Test
         void areNotSentToCopiesThatLeaveWhileOneZoneAfterTheOtherIsRefused() {
             for (int turn = 0; turn < ZONES; turn++) {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/ShiftedSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/ShiftedSite.java
@@ -17,7 +17,7 @@
  * and lookups four, in addition to short reads that go there directly and are worth most for their time. The clients
  * belong to organisations of two ranks.
  *
- * <p>Slots, speeds, work times, aims and limits come from a customer's data sheet. Not thread safe.
+ * <p>Slots, speeds, work times, target latencies and limits come from a customer's data sheet. Not thread safe.
  */
 final class ShiftedSite extends VirtualSite {
 
@@ -71,8 +71,8 @@
         fleet.runUntil(START);
     }
 
-    private static Route called(String path, String service, long timeout, long aim) {
-        return Routes.withoutKey(Routes.route(path, service, true, 1, timeout, aim));
+    private static Route called(String path, String service, long timeout, long targetLatency) {
+        return Routes.withoutKey(Routes.route(path, service, true, 1, timeout, targetLatency));
     }
 
     private List<Organisation> organisations() {
--- a/policy/src/test/java/org/carawaysill/policy/fleet/VirtualFleet.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/VirtualFleet.java
@@ -60,7 +60,7 @@
 
     private static final long READ = 4 * MILLI;
 
-    private final Set<Mechanism> without;
+    private final Set<Mechanism> disabledMechanisms;
     final SplittableRandom random;
     final Map<String, VirtualNode> nodes = new LinkedHashMap<>();
     final Map<String, PublishedEntry> platform = new LinkedHashMap<>();
@@ -123,8 +123,8 @@
     }
 
     /** Creates a fleet with some mechanisms of the policy switched off. */
-    VirtualFleet(long seed, Set<Mechanism> without) {
-        this.without = without;
+    VirtualFleet(long seed, Set<Mechanism> disabledMechanisms) {
+        this.disabledMechanisms = disabledMechanisms;
         random = new SplittableRandom(seed);
     }
 
@@ -208,8 +208,8 @@
     }
 
     /** Sends a client's request; the receiver gets the outcome. */
-    void send(VirtualNode entry, String name, String path, long patience, BiConsumer<Long, Outcome> receiver) {
-        send(entry, name, path, Credential.NONE, patience, receiver);
+    void send(VirtualNode entry, String name, String path, long clientTimeout, BiConsumer<Long, Outcome> receiver) {
+        send(entry, name, path, Credential.NONE, clientTimeout, receiver);
     }
 
     /** Sends a client's request with a credential; the receiver gets the outcome. */
@@ -218,9 +218,9 @@
             String name,
             String path,
             Credential credential,
-            long patience,
+            long clientTimeout,
             BiConsumer<Long, Outcome> receiver) {
-        entry.arrive(name, path, credential, Optional.of(Duration.ofNanos(patience)), receiver);
+        entry.arrive(name, path, credential, Optional.of(Duration.ofNanos(clientTimeout)), receiver);
     }
 
     /** A node, its copy, and their VM. */
@@ -294,7 +294,7 @@
                     stopLimit,
                     new RetrySettings(0.2, 48, Duration.ofSeconds(10)),
                     new AllowanceBounds(Duration.ofSeconds(5), 0.25, 20),
-                    without);
+                    disabledMechanisms);
         }
 
         private FleetPolicy newPolicy() {
@@ -455,7 +455,7 @@
 
         private void apply(FleetEffect effect) {
             switch (effect) {
-                case FleetEffect.SendToCopy hand -> runAtCopy(hand);
+                case FleetEffect.SendToCopy request -> runAtCopy(request);
                 case FleetEffect.CancelAtCopy cancel -> atCopy.remove(cancel.attempt());
                 case FleetEffect.AnswerExchange answer -> {
                     BiConsumer<Long, Outcome> receiver = receivers.remove(answer.exchange());
@@ -557,7 +557,7 @@
                 String requestName,
                 String path,
                 Credential credential,
-                Optional<Duration> patience,
+                Optional<Duration> clientTimeout,
                 BiConsumer<Long, Outcome> receiver) {
             ExchangeIdentifier exchange = new ExchangeIdentifier(0, ++exchanges);
             if (!alive) {
@@ -569,40 +569,40 @@
                     exchange,
                     requestName,
                     "fleet.example",
-                    patience,
+                    clientTimeout,
                     credential,
                     new RequestContent("GET", path, List.of(), Body.EMPTY)));
         }
 
-        private void runAtCopy(FleetEffect.SendToCopy hand) {
+        private void runAtCopy(FleetEffect.SendToCopy request) {
             if (!copyRuns) {
-                at(now, () -> deliver(new FleetEvent.CopyAnswered(hand.attempt(), Outcomes.UNREACHABLE)));
+                at(now, () -> deliver(new FleetEvent.CopyAnswered(request.attempt(), Outcomes.UNREACHABLE)));
                 return;
             }
             if (atCopy.size() >= slots || shed > 0 && random.nextDouble() < shed) {
-                at(now, () -> deliver(new FleetEvent.CopyAnswered(hand.attempt(), Outcomes.REFUSED)));
+                at(now, () -> deliver(new FleetEvent.CopyAnswered(request.attempt(), Outcomes.REFUSED)));
                 return;
             }
-            runs.add(new Run(now, hand.requestName(), hand.content().path(), copy(), hand.organisation()));
-            atCopy.add(hand.attempt());
+            runs.add(new Run(now, request.requestName(), request.content().path(), copy(), request.organisation()));
+            atCopy.add(request.attempt());
             if (failing > 0 && random.nextDouble() < failing) {
-                at(now + 2 * MILLI, () -> answer(hand, Outcomes.FAILED));
+                at(now + 2 * MILLI, () -> answer(request, Outcomes.FAILED));
             } else if (!silent) {
-                work(hand);
+                work(request);
             }
         }
 
-        private void work(FleetEffect.SendToCopy hand) {
-            String path = hand.content().path();
+        private void work(FleetEffect.SendToCopy request) {
+            String path = request.content().path();
             crashingRequest
                     .filter(of -> path.startsWith(of.prefix()))
                     .ifPresentOrElse(
                             of -> at(now + random.nextLong(of.soonest(), of.latest()), () -> {
-                                if (atCopy.contains(hand.attempt())) {
+                                if (atCopy.contains(request.attempt())) {
                                     crashCopy(of.absence());
                                 }
                             }),
-                            () -> call(hand, works.get(kindOf(path)), 0));
+                            () -> call(request, works.get(kindOf(path)), 0));
         }
 
         /** Returns the part of a path that selects its route and its work: up to the second slash. */
@@ -610,33 +610,33 @@
             return path.substring(0, path.indexOf('/', 1) + 1);
         }
 
-        private void call(FleetEffect.SendToCopy hand, Work work, int index) {
-            if (!atCopy.contains(hand.attempt())) {
+        private void call(FleetEffect.SendToCopy request, Work work, int index) {
+            if (!atCopy.contains(request.attempt())) {
                 return;
             }
             if (index == work.calls().size()) {
                 double factor = atCopy.size() >= slowdownThreshold * slots ? speed * slowdownFactor : speed;
-                at(now + (long) (work.draw(random) * factor), () -> answer(hand, Outcomes.good(work.answer())));
+                at(now + (long) (work.draw(random) * factor), () -> answer(request, Outcomes.good(work.answer())));
                 return;
             }
-            String callName = hand.requestName() + ".%016x".formatted(random.nextLong());
-            Duration left = Duration.ofNanos(Math.max(0, hand.deadlineNanos() - now));
+            String callName = request.requestName() + ".%016x".formatted(random.nextLong());
+            Duration left = Duration.ofNanos(Math.max(0, request.deadlineNanos() - now));
             arrive(callName, work.calls().get(index), Credential.NONE, Optional.of(left), (_, outcome) -> {
                 if (outcome instanceof Outcome.Answered answered
                         && answered.content().status() < 500) {
-                    call(hand, work, index + 1);
+                    call(request, work, index + 1);
                 } else {
-                    answer(hand, Outcomes.FAILED);
+                    answer(request, Outcomes.FAILED);
                 }
             });
         }
 
-        private void answer(FleetEffect.SendToCopy hand, Outcome made) {
-            if (!atCopy.remove(hand.attempt())) {
+        private void answer(FleetEffect.SendToCopy request, Outcome made) {
+            if (!atCopy.remove(request.attempt())) {
                 return;
             }
             boolean lost = answerLost > 0 && random.nextLong(answerLost) == 0;
-            deliver(new FleetEvent.CopyAnswered(hand.attempt(), lost ? Outcomes.LOST : made));
+            deliver(new FleetEvent.CopyAnswered(request.attempt(), lost ? Outcomes.LOST : made));
         }
     }
 }
--- a/policy/src/test/java/org/carawaysill/policy/fleet/VirtualSite.java
+++ b/policy/src/test/java/org/carawaysill/policy/fleet/VirtualSite.java
@@ -34,7 +34,7 @@
             boolean idempotent,
             int rank,
             long timeout,
-            long aim,
+            long targetLatency,
             long deadline,
             double perSecond,
             double worth) {
@@ -64,9 +64,9 @@
     private int hosts;
 
     /** Creates a site without nodes, with some mechanisms of the policy switched off. */
-    VirtualSite(long seed, Set<Mechanism> without, List<Kind> kinds) {
+    VirtualSite(long seed, Set<Mechanism> disabledMechanisms, List<Kind> kinds) {
         this.kinds = kinds;
-        fleet = new VirtualFleet(seed, without);
+        fleet = new VirtualFleet(seed, disabledMechanisms);
         random = new SplittableRandom(seed + 1);
     }
 
@@ -74,7 +74,13 @@
     final void configure(Route... calls) {
         List<Route> routes = new ArrayList<>(List.of(calls));
         kinds.forEach(kind -> routes.add(Routes.route(
-                kind.path(), kind.service(), kind.idempotent(), kind.rank(), kind.timeout(), kind.aim(), attempts())));
+                kind.path(),
+                kind.service(),
+                kind.idempotent(),
+                kind.rank(),
+                kind.timeout(),
+                kind.targetLatency(),
+                attempts())));
         fleet.configure(routes.toArray(Route[]::new));
     }
 
@@ -185,7 +191,7 @@
         Tally tally = request.tally();
         long took = fleet.now + CLIENT_HOP - request.began();
         if (Outcomes.isGood(outcome)) {
-            if (took <= kind.aim() * MILLI) {
+            if (took <= kind.targetLatency() * MILLI) {
                 tally.inAim++;
             }
             return;
@@ -219,14 +225,14 @@
     }
 
     /**
-     * Returns the share of requests that began in some windows of two seconds and were answered within their aim,
-     * weighted by worth.
+     * Returns the share of requests that began in some windows of two seconds and were answered within their target
+     * latency, weighted by worth.
      */
     double served(int firstWindow, int lastWindow) {
         return served(kinds, firstWindow, lastWindow);
     }
 
-    /** Returns the share of one kind's requests in some windows that were answered within their aim. */
+    /** Returns the share of one kind's requests in some windows that were answered within their target latency. */
     double served(String name, int firstWindow, int lastWindow) {
         List<Kind> named =
                 kinds.stream().filter(kind -> kind.name().equals(name)).toList();
--- a/policy/src/test/java/org/carawaysill/policy/routing/Balancer.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/Balancer.java
@@ -28,7 +28,7 @@
 
     void answered(long now, int copy, LoadReport load, long latencyNanos) {}
 
-    void heard(long now, int copy, LoadReport load) {}
+    void loadReported(long now, int copy, LoadReport load) {}
 
     static Balancer of(Kind kind, int caller, VirtualCopies copies, SplittableRandom random) {
         int count = copies.count();
@@ -151,7 +151,7 @@
         }
 
         @Override
-        void heard(long now, int copy, LoadReport load) {
+        void loadReported(long now, int copy, LoadReport load) {
             selector.loadReported(now, VirtualCopies.name(copy), load);
         }
     }
--- a/policy/src/test/java/org/carawaysill/policy/routing/VirtualCopies.java
+++ b/policy/src/test/java/org/carawaysill/policy/routing/VirtualCopies.java
@@ -139,7 +139,7 @@
 
     private void sendHeartbeat(int copy, Balancer to, long end) {
         LoadReport reported = load(copy);
-        at(now + FAR_NANOS, () -> to.heard(now, copy, reported));
+        at(now + FAR_NANOS, () -> to.loadReported(now, copy, reported));
         if (now < end) {
             at(now + HEARTBEAT_NANOS, () -> sendHeartbeat(copy, to, end));
         }
