--- a/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
+++ b/node/src/test/java/org/carawaysill/node/upstream/CopyConnectionsTest.java
@@ -55,7 +55,7 @@
 
     private AttemptIdentifier send(String name, Duration timeout) {
         AttemptIdentifier attempt = new AttemptIdentifier(0, ++attempts);
-        FleetEffect.HandToCopy effect = new FleetEffect.HandToCopy(
+        FleetEffect.SendToCopy effect = new FleetEffect.SendToCopy(
                 attempt,
                 new CopyName("copy-1"),
                 new ServiceName("front"),
@@ -139,7 +139,7 @@
 
         /*
          * A process is paused between the decision and the write, and resumes after its client has left. A request
-         * written then would run for nobody.
+         * written then would run although no client waits for it.
          */
         @Test
         void areNotWrittenAfterTheirDeadline() {
--- a/policy/src/main/java/org/carawaysill/policy/effect/Effect.java
+++ b/policy/src/main/java/org/carawaysill/policy/effect/Effect.java
@@ -21,7 +21,7 @@
      * @param content the request
      * @param deadlineNanos the deadline on the monotonic clock
      */
-    record HandToCopy(AttemptIdentifier attempt, RequestContent content, long deadlineNanos) implements Effect {}
+    record SendToCopy(AttemptIdentifier attempt, RequestContent content, long deadlineNanos) implements Effect {}
 
     /**
      * Cancel a request at the local copy and close its connection.
@@ -67,10 +67,10 @@
      *
      * @param service the service
      * @param knownVersion the version that the node already has, 0 for none
-     * @param patience how long the platform may hold the read open until a newer version exists (a long poll); zero for
+     * @param maximumWait how long the platform may hold the read open until a newer version exists (a long poll); zero for
      *     an immediate answer
      */
-    record ReadConfiguration(ServiceName service, long knownVersion, Duration patience) implements Effect {}
+    record ReadConfiguration(ServiceName service, long knownVersion, Duration maximumWait) implements Effect {}
 
     /** Read the platform's list of VMs. */
     record ReadVmList() implements Effect {}
--- a/policy/src/main/java/org/carawaysill/policy/engine/WorkRunner.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/WorkRunner.java
@@ -143,7 +143,7 @@
         }
         countViolations(now, work);
         work.current(Optional.of(new Attempt.AtCopy(attempt)));
-        out.add(new Effect.HandToCopy(
+        out.add(new Effect.SendToCopy(
                 attempt, work.facts().content(), work.facts().deadlineNanos()));
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/FleetState.java
@@ -13,7 +13,7 @@
 import org.carawaysill.policy.fleet.allowance.FleetAllowances;
 import org.carawaysill.policy.fleet.copy.Copy;
 import org.carawaysill.policy.fleet.summary.Aggregators;
-import org.carawaysill.policy.fleet.summary.Group;
+import org.carawaysill.policy.fleet.summary.ReportAggregator;
 import org.carawaysill.policy.fleet.summary.RouteSums;
 import org.carawaysill.policy.fleet.summary.Summaries;
 import org.carawaysill.policy.message.PeerMessage;
@@ -37,7 +37,7 @@
     private final PublishedView view;
     private final Peers peers;
     private final FleetAllowances allowances;
-    private final Group group = new Group();
+    private final ReportAggregator reportAggregator = new ReportAggregator();
     private final Summaries groupSummaries = new Summaries();
     private final Summaries fleetSummaries = new Summaries();
     private Aggregators aggregators = new Aggregators(Map.of());
@@ -55,18 +55,18 @@
     /** Receives another node's own report. */
     void reported(long now, NodeName from, NodeReport report) {
         if (report.summed()) {
-            group.reported(now, from, report);
+            reportAggregator.reported(now, from, report);
         }
     }
 
     /** Receives another aggregator's summary of the reports that it received. */
     void groupSummaryReceived(long now, NodeName from, StateSummary summary) {
-        groupSummaries.told(now, from, summary);
+        groupSummaries.receive(now, from, summary);
     }
 
     /** Receives the summary of the fleet from an aggregator of this node's zone. */
     void fleetSummaryReceived(long now, NodeName from, StateSummary summary) {
-        fleetSummaries.told(now, from, summary);
+        fleetSummaries.receive(now, from, summary);
         if (!isAggregator()) {
             update(now, fleetSummaries.all());
             updateAllowanceUses(now, summary);
@@ -74,26 +74,27 @@
     }
 
     void lost(NodeName node) {
-        group.lost(node);
+        reportAggregator.lost(node);
         groupSummaries.lost(node);
         fleetSummaries.lost(node);
     }
 
     private boolean isAggregator() {
-        return !group.members().isEmpty() || aggregators.of(settings.zone()).contains(settings.self());
+        return !reportAggregator.members().isEmpty()
+                || aggregators.of(settings.zone()).contains(settings.self());
     }
 
     /**
      * Sends this node's report, and as an aggregator also the summaries; then updates this node's view of the fleet.
      */
     void tick(long now, NodeReport own) {
-        group.passTime(now);
+        reportAggregator.passTime(now);
         groupSummaries.passTime(now);
         fleetSummaries.passTime(now);
         aggregators = new Aggregators(reachableByZone());
         boolean primary = reportToAggregators(now, own);
         if (isAggregator()) {
-            sendSummaries(now, primary ? own : own.toBeKnown(true));
+            sendSummaries(now, primary ? own : own.withoutDemands(true));
         } else {
             update(now, fleetSummaries.all());
             addOwnDemand(own);
@@ -102,7 +103,7 @@
 
     private Map<AvailabilityZone, List<NodeName>> reachableByZone() {
         Map<NodeName, AvailabilityZone> zones = new HashMap<>();
-        for (Copy copy : view.copies().withUnnamed()) {
+        for (Copy copy : view.copies().allIncludingUnconfigured()) {
             if (peers.isReachable(copy.node())) {
                 zones.put(copy.node(), copy.record().zone());
             }
@@ -120,8 +121,8 @@
         NodeName primary = receivers.getFirst();
         for (NodeName receiver : receivers) {
             if (!receiver.equals(settings.self())) {
-                boolean whole = receiver.equals(primary);
-                send(now, receiver, own.toBeSummed(whole));
+                boolean withDemands = receiver.equals(primary);
+                send(now, receiver, own.forAggregator(withDemands));
             }
         }
         return primary.equals(settings.self());
@@ -133,13 +134,13 @@
     }
 
     private void sendSummaries(long now, NodeReport own) {
-        StateSummary groupSummary = group.summary(settings.self(), own);
+        StateSummary groupSummary = reportAggregator.summary(settings.self(), own);
         Set<NodeName> others = otherAggregators();
         others.forEach(other -> send(now, other, new PeerMessage.GroupSummary(groupSummary)));
         List<StateSummary> all = new ArrayList<>(groupSummaries.all());
         all.add(groupSummary);
-        StateSummary joined = Summaries.join(own.published(), all);
-        for (NodeName member : group.members()) {
+        StateSummary joined = Summaries.merge(own.published(), all);
+        for (NodeName member : reportAggregator.members()) {
             if (!others.contains(member)) {
                 effects.add(new FleetEffect.SendToPeer(member, new PeerMessage.FleetSummary(joined)));
             }
@@ -149,7 +150,7 @@
     }
 
     private void updateAllowanceUses(long now, StateSummary summary) {
-        allowances.told(now, summary.uses(), summary.nodes().size());
+        allowances.receiveUse(now, summary.uses(), summary.nodes().size());
     }
 
     /**
@@ -174,8 +175,8 @@
         for (Copy copy : view.copies().all()) {
             NodeState state = states.get(copy.node());
             if (state != null) {
-                copy.toldByOthers(now, state.load());
-                copy.works(state.workSeconds());
+                copy.receiveRelayedLoad(now, state.load());
+                copy.receiveWorkSeconds(state.workSeconds());
             }
         }
     }
@@ -196,7 +197,7 @@
         reportToAggregators(now, own);
         if (isAggregator()) {
             Set<NodeName> receivers = otherAggregators();
-            receivers.addAll(group.members());
+            receivers.addAll(reportAggregator.members());
             receivers.removeAll(aggregators.of(settings.zone()));
             receivers.forEach(receiver -> sendReport(receiver, own));
         }
@@ -204,10 +205,10 @@
 
     /** Sends this node's report to another node, which does not include it in a summary. */
     void sendReport(NodeName receiver, NodeReport own) {
-        boolean sameZone = view.copies().withUnnamed().stream()
+        boolean sameZone = view.copies().allIncludingUnconfigured().stream()
                 .filter(copy -> copy.node().equals(receiver))
                 .anyMatch(copy -> copy.record().zone().equals(settings.zone()));
-        effects.add(new FleetEffect.SendToPeer(receiver, own.toBeKnown(sameZone)));
+        effects.add(new FleetEffect.SendToPeer(receiver, own.withoutDemands(sameZone)));
     }
 
     /** Returns whether a node is in the latest summaries; true for every node while there are none. */
--- a/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/ServiceLoads.java
@@ -14,7 +14,8 @@
  * <p>The load reported by a node whose copy is gone or leaving does not count. Guards against admitting requests that
  * no copy can run: if three of four copies of a deep service are no longer published, their nodes still report all
  * their slots, and hardly any chain of calls through the last copy ends in time. In virtual time, 0.41 instead of 0.33
- * of the requests then end within their aim, and 590 instead of 2,800 fail. Not thread safe: owned by the policy.
+ * of the requests then end within their target latency, and 590 instead of 2,800 fail. Not thread safe: owned by the
+ * policy.
  */
 final class ServiceLoads {
 
@@ -40,15 +41,15 @@
     /** Returns the loads by service; a service without a copy that may get work is absent. */
     Map<ServiceName, ServiceLoad> sum(long now) {
         updateOwnCopy(now);
-        return settings.without().contains(Mechanism.USABLE_SLOTS) ? ofAllNodes(now) : ofUsableCopies(now);
+        return settings.disabledMechanisms().contains(Mechanism.USABLE_SLOTS) ? ofAllNodes(now) : ofUsableCopies(now);
     }
 
     /** Updates the load of this node's own copy, which no other node reports to it. */
     private void updateOwnCopy(long now) {
         for (Copy copy : view.copies().usable(settings.service())) {
             if (copy.node().equals(settings.self())) {
-                copy.told(now, localRuns.load(now));
-                copy.works(localRuns.workSeconds(now));
+                copy.receiveLoad(now, localRuns.load(now));
+                copy.receiveWorkSeconds(localRuns.workSeconds(now));
             }
         }
     }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/Copy.java
@@ -192,7 +192,7 @@
      * @param now the monotonic time
      * @param newest the load
      */
-    public void told(long now, LoadReport newest) {
+    public void receiveLoad(long now, LoadReport newest) {
         directLoadNanos = now;
         updateLoad(newest);
     }
@@ -204,7 +204,7 @@
      * @param now the monotonic time
      * @param relayed the load
      */
-    public void toldByOthers(long now, LoadReport relayed) {
+    public void receiveRelayedLoad(long now, LoadReport relayed) {
         if (now - directLoadNanos >= DIRECT_LOAD_VALIDITY_NANOS) {
             updateLoad(relayed);
         }
@@ -220,7 +220,7 @@
      *
      * @param seconds the mean, 0 while unknown
      */
-    public void works(double seconds) {
+    public void receiveWorkSeconds(double seconds) {
         workSeconds = seconds;
     }
 
@@ -246,12 +246,12 @@
      * Estimates the load of the copy with one more request.
      *
      * @param now the monotonic time
-     * @param without the mechanisms that are switched off
+     * @param disabledMechanisms the mechanisms that are switched off
      * @return requests divided by the limit, multiplied by a factor during the warm-up
      */
-    public double expectedLoad(long now, Set<Mechanism> without) {
+    public double expectedLoad(long now, Set<Mechanism> disabledMechanisms) {
         double expected = (othersLoad + outstanding + 1) / (double) Math.max(1, load.limit());
-        boolean cold = now < warmNanos && !without.contains(Mechanism.COLD_FACTOR);
+        boolean cold = now < warmNanos && !disabledMechanisms.contains(Mechanism.COLD_FACTOR);
         return cold ? expected * COLD_LOAD_FACTOR : expected;
     }
 }
--- a/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/copy/CopyGate.java
@@ -60,12 +60,12 @@
     /**
      * Creates a gate in front of a copy whose record is still unknown.
      *
-     * @param without the mechanisms that are switched off
+     * @param disabledMechanisms the mechanisms that are switched off
      */
-    public CopyGate(Set<Mechanism> without) {
-        order = without.contains(Mechanism.OLDEST_FIRST) ? LocalRun.DEEPEST_FIRST : LocalRun.OLDEST_FIRST;
+    public CopyGate(Set<Mechanism> disabledMechanisms) {
+        order = disabledMechanisms.contains(Mechanism.OLDEST_FIRST) ? LocalRun.DEEPEST_FIRST : LocalRun.OLDEST_FIRST;
         queue = new PriorityQueue<>(order);
-        nearFull = new NearFullLimit(!without.contains(Mechanism.NEAR_FULL_LIMIT));
+        nearFull = new NearFullLimit(!disabledMechanisms.contains(Mechanism.NEAR_FULL_LIMIT));
         nearFull.reset(0, slots);
     }
 
@@ -108,7 +108,7 @@
     public void limit(long now, int published) {
         if (published != slots) {
             slots = published;
-            renewed(now);
+            copyRestarted(now);
         }
     }
 
@@ -117,7 +117,7 @@
      *
      * @param now the monotonic time
      */
-    public void renewed(long now) {
+    public void copyRestarted(long now) {
         limit = Math.max(1, slots);
         nearFull.reset(now, slots);
         workTime.reset();
@@ -177,7 +177,7 @@
      * @param run the request
      * @return whether the queue of suspects had room for it
      */
-    public boolean hold(LocalRun run) {
+    public boolean enqueueSuspect(LocalRun run) {
         if (suspects.waiting().size() >= Math.max(MINIMUM_QUEUE_LENGTH, slots * QUEUED_PER_SLOT)) {
             return false;
         }
@@ -191,7 +191,7 @@
      *
      * @param nanos the monotonic time
      */
-    public void settleSuspectsUntil(long nanos) {
+    public void delaySuspectsUntil(long nanos) {
         suspects.delayUntil(nanos);
     }
 
@@ -200,7 +200,7 @@
      *
      * @param run the request
      */
-    public void join(LocalRun run) {
+    public void suspectRunning(LocalRun run) {
         suspects.join(run);
     }
 
