--- a/policy/src/main/java/org/carawaysill/policy/engine/CallerRequests.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/CallerRequests.java
@@ -15,7 +15,7 @@
 import org.carawaysill.policy.event.Event;
 import org.carawaysill.policy.ownership.KeyReader;
 import org.carawaysill.policy.ownership.RequestKey;
-import org.carawaysill.policy.retry.RequestLedger;
+import org.carawaysill.policy.retry.RetryCreditLedger;
 import org.carawaysill.policy.time.Moment;
 
 /**
@@ -113,13 +113,13 @@
         RequestIdentifier request = facts.request();
         if (facts.key().isEmpty()) {
             // Without a key no repeat can be recognised, so only this node knows of the work and starts it only once.
-            runner.start(now, new Work(facts, new RequestLedger(credits), Work.Scope.OWN_SERVICE, origin));
+            runner.start(now, new Work(facts, new RetryCreditLedger(credits), Work.Scope.OWN_SERVICE, origin));
         } else if (facts.idempotent()) {
             clientRetries.dispatch(now, origin, facts, credits);
         } else if (ownership.holder(request).filter(identity.node()::equals).isPresent()) {
             ownership.hold(now, origin, facts, credits);
         } else {
-            runner.start(now, new Work(facts, new RequestLedger(credits), Work.Scope.AT_HOLDER, origin));
+            runner.start(now, new Work(facts, new RetryCreditLedger(credits), Work.Scope.AT_HOLDER, origin));
         }
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/engine/ClientLedgers.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/ClientLedgers.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.carawaysill.model.identity.RequestIdentifier;
-import org.carawaysill.policy.retry.RequestLedger;
+import org.carawaysill.policy.retry.RetryCreditLedger;
 
 /**
  * Keeps the ledgers of requests with an idempotency key at this node, so that a caller's repeat draws on the same one.
@@ -29,7 +29,7 @@
         if (known != null) {
             current.put(request, known);
         }
-        return current.computeIfAbsent(request, key -> new Entry(new RequestLedger(credits)));
+        return current.computeIfAbsent(request, key -> new Entry(new RetryCreditLedger(credits)));
     }
 
     private void rotate(long now) {
@@ -43,14 +43,14 @@
     /** A request's ledger, and whether any of its attempts here may have run; mutable, owned by the policy. */
     static final class Entry {
 
-        private final RequestLedger ledger;
+        private final RetryCreditLedger ledger;
         private boolean mayHaveRun;
 
-        Entry(RequestLedger ledger) {
+        Entry(RetryCreditLedger ledger) {
             this.ledger = ledger;
         }
 
-        RequestLedger ledger() {
+        RetryCreditLedger ledger() {
             return ledger;
         }
 
--- a/policy/src/main/java/org/carawaysill/policy/engine/ClientRetries.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/ClientRetries.java
@@ -15,7 +15,7 @@
 import org.carawaysill.policy.ownership.HolderRank;
 import org.carawaysill.policy.ownership.KeyReader;
 import org.carawaysill.policy.retry.CreditShares;
-import org.carawaysill.policy.retry.RequestLedger;
+import org.carawaysill.policy.retry.RetryCreditLedger;
 import org.carawaysill.policy.time.Moment;
 
 /**
@@ -79,7 +79,7 @@
     }
 
     private static Work forwarded(RequestFacts facts, int credits, WorkOrigin origin) {
-        return new Work(facts, new RequestLedger(credits), Work.Scope.AT_STARTER, origin);
+        return new Work(facts, new RetryCreditLedger(credits), Work.Scope.AT_STARTER, origin);
     }
 
     /** Returns the node that may start a request, or empty while neither may get new work. */
--- a/policy/src/main/java/org/carawaysill/policy/engine/CopyCalls.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/CopyCalls.java
@@ -12,7 +12,7 @@
 import org.carawaysill.model.request.Step;
 import org.carawaysill.policy.admission.CopyAdmission;
 import org.carawaysill.policy.event.Event;
-import org.carawaysill.policy.retry.RequestLedger;
+import org.carawaysill.policy.retry.RetryCreditLedger;
 import org.carawaysill.policy.time.Moment;
 
 /**
@@ -62,7 +62,7 @@
         }
         RequestFacts facts = facts(now, call, parent, caller, classification.get());
         parent.flatMap(work -> call.parent()).ifPresent(attempt -> admission.deeperCallStarted(now.nanos(), attempt));
-        RequestLedger ledger = parent.map(Work::ledger).orElseGet(() -> new RequestLedger(0));
+        RetryCreditLedger ledger = parent.map(Work::ledger).orElseGet(() -> new RetryCreditLedger(0));
         runner.start(now, new Work(facts, ledger, Work.Scope.DEEPER_SERVICE, origin));
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/engine/PeerRequests.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/PeerRequests.java
@@ -10,7 +10,7 @@
 import org.carawaysill.model.request.UnknownReason;
 import org.carawaysill.policy.message.PeerMessage.PeerRequest;
 import org.carawaysill.policy.message.PeerMessage.Purpose;
-import org.carawaysill.policy.retry.RequestLedger;
+import org.carawaysill.policy.retry.RetryCreditLedger;
 import org.carawaysill.policy.time.Moment;
 
 /**
@@ -112,7 +112,7 @@
         if (request.purpose() == Purpose.HOLD) {
             hold(now, origin, facts, request.retryCredits());
         } else {
-            RequestLedger ledger = new RequestLedger(request.retryCredits());
+            RetryCreditLedger ledger = new RetryCreditLedger(request.retryCredits());
             runner.start(now, new Work(facts, ledger, Work.Scope.LOCAL_COPY, origin));
         }
     }
--- a/policy/src/main/java/org/carawaysill/policy/engine/RetryGate.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/RetryGate.java
@@ -36,7 +36,8 @@
         if (!mayTryElsewhere(work)) {
             return;
         }
-        budget.firstAttempt(now.nanos(), work.facts().caller(), work.facts().service());
+        budget.recordFirstAttempt(
+                now.nanos(), work.facts().caller(), work.facts().service());
     }
 
     /** Returns when to retry, or empty if the outcome is final. */
--- a/policy/src/main/java/org/carawaysill/policy/engine/Work.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/Work.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.carawaysill.model.identity.NodeName;
-import org.carawaysill.policy.retry.RequestLedger;
+import org.carawaysill.policy.retry.RetryCreditLedger;
 
 /**
  * A request that this node handles until its outcome, over all its attempts here.
@@ -17,7 +17,7 @@
 final class Work {
 
     private final RequestFacts facts;
-    private final RequestLedger ledger;
+    private final RetryCreditLedger ledger;
     private final Scope scope;
     private final List<WorkOrigin> origins = new ArrayList<>();
     private final Set<NodeName> tried = new HashSet<>();
@@ -28,7 +28,7 @@
     private boolean mayHaveRun;
     private boolean finished;
 
-    Work(RequestFacts facts, RequestLedger ledger, Scope scope, WorkOrigin origin) {
+    Work(RequestFacts facts, RetryCreditLedger ledger, Scope scope, WorkOrigin origin) {
         this.facts = facts;
         this.ledger = ledger;
         this.scope = scope;
@@ -55,7 +55,7 @@
         return facts;
     }
 
-    RequestLedger ledger() {
+    RetryCreditLedger ledger() {
         return ledger;
     }
 
--- a/policy/src/main/java/org/carawaysill/policy/engine/WorkRunner.java
+++ b/policy/src/main/java/org/carawaysill/policy/engine/WorkRunner.java
@@ -184,7 +184,7 @@
             return;
         }
         control.answered(now, from, answer.load(), now.nanos() - sent);
-        found.get().ledger().returned(answer.attempt(), answer.unspentCredits());
+        found.get().ledger().returnUnspent(answer.attempt(), answer.unspentCredits());
         ended(now, answer.attempt(), withPeer(from, answer.outcome()));
     }
 
@@ -203,7 +203,7 @@
     void unsent(Moment now, NodeName peer, AttemptIdentifier attempt) {
         table.byAttempt(attempt).ifPresent(work -> {
             control.failed(now, peer);
-            work.ledger().returned(attempt, Integer.MAX_VALUE);
+            work.ledger().returnUnspent(attempt, Integer.MAX_VALUE);
             Outcome outcome = work.scope() == Work.Scope.AT_HOLDER
                     ? new Outcome.Unknown(UnknownReason.HOLDER_UNREACHABLE, Step.PEER_SEND, Optional.of(peer))
                     : new Outcome.NotRun(
@@ -235,7 +235,7 @@
     private void attemptLost(Moment now, Work work, NodeName peer) {
         AttemptIdentifier attempt = work.current().orElseThrow().identifier();
         control.failed(now, peer);
-        work.ledger().lost(attempt);
+        work.ledger().recordLostAttempt(attempt);
         ended(now, attempt, new Outcome.Unknown(UnknownReason.PEER_LOST, Step.PEER_WAIT, Optional.of(peer)));
     }
 
@@ -307,7 +307,7 @@
             }
             case Attempt.AtPeer atPeer -> {
                 work.markMayHaveRun();
-                work.ledger().lost(atPeer.identifier());
+                work.ledger().recordLostAttempt(atPeer.identifier());
                 control.withdrawn(now, atPeer.peer());
                 out.add(new Effect.SendToPeer(atPeer.peer(), new PeerMessage.CancelAttempt(atPeer.identifier())));
             }
--- a/policy/src/main/java/org/carawaysill/policy/retry/RetryBudget.java
+++ b/policy/src/main/java/org/carawaysill/policy/retry/RetryBudget.java
@@ -25,7 +25,7 @@
      * @param caller the caller
      * @param service the called service
      */
-    public void firstAttempt(long now, CallerName caller, ServiceName service) {}
+    public void recordFirstAttempt(long now, CallerName caller, ServiceName service) {}
 
     /**
      * Tells whether a retry may be made.
--- a/policy/src/main/java/org/carawaysill/policy/retry/RequestLedger.java
+++ b/policy/src/main/java/org/carawaysill/policy/retry/RetryCreditLedger.java
@@ -12,7 +12,7 @@
  * whose answer is lost count as spent, because the retries below it can no longer be counted. Not thread safe: one
  * thread owns it.
  */
-public final class RequestLedger {
+public final class RetryCreditLedger {
 
     private final int granted;
     private final Map<AttemptIdentifier, Integer> creditsByAttempt = new HashMap<>();
@@ -25,7 +25,7 @@
      * @param granted the retries that may be spent at this node and at deeper services
      * @throws IllegalArgumentException if the grant is negative
      */
-    public RequestLedger(int granted) {
+    public RetryCreditLedger(int granted) {
         if (granted < 0) {
             throw new IllegalArgumentException("a grant of retries must not be negative");
         }
@@ -72,7 +72,7 @@
      * @param attempt the attempt; an unknown one is ignored
      * @param unspent the unspent credits that the answer reports, limited to what the attempt was granted
      */
-    public void returned(AttemptIdentifier attempt, int unspent) {
+    public void returnUnspent(AttemptIdentifier attempt, int unspent) {
         Integer taken = creditsByAttempt.remove(attempt);
         if (taken == null) {
             return;
@@ -88,8 +88,8 @@
      *
      * @param attempt the attempt; an unknown one is ignored
      */
-    public void lost(AttemptIdentifier attempt) {
-        returned(attempt, 0);
+    public void recordLostAttempt(AttemptIdentifier attempt) {
+        returnUnspent(attempt, 0);
     }
 
     /**
