--- a/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
+++ b/policy/src/main/java/org/carawaysill/policy/fleet/CrashSuspects.java
@@ -265,8 +265,8 @@
      * Sends the suspicions to the nodes of a service's copies, and quarantines to all nodes, where they outlast a
      * restart of all nodes of the service.
      */
-    private void notifyNodes(long now, ServiceName service, Set<Fingerprint> fingerprints) {
-        List<Suspicion> suspicions = fingerprints.stream()
+    private void notifyNodes(long now, ServiceName service, Set<Fingerprint> changed) {
+        List<Suspicion> suspicions = changed.stream()
                 .map(fingerprint -> table.suspicion(now, fingerprint))
                 .flatMap(Optional::stream)
                 .toList();
